--- a/bench/BenchQuarantine.ts
+++ b/bench/BenchQuarantine.ts
@@ -2,10 +2,10 @@
 import {
   EMPTY_QUARANTINE,
   hashQuarantine,
-  holdEnd,
-  mergeNews,
-  MOST_SUSPECTS,
-  writeNews,
+  recordSuspects,
+  mergeSuspectRecords,
+  MAX_SUSPECTS,
+  toQuarantineUpdates,
 } from '../src/coordination/index.js';
 import { digestRequest } from '../src/protocol/index.js';
 import { report, round } from './BenchReport.js';
@@ -60,19 +60,19 @@
     const identity = { customer: 'kano', method: 'POST', host: 'desk.example', path: '/a/b', body };
     report('quarantine-digest', { seed, bytes, us: timeOf(() => digestRequest(identity)) });
   });
-  const lost = Array.from({ length: MOST_SUSPECTS }, (_item, i) => {
+  const lost = Array.from({ length: MAX_SUSPECTS }, (_item, i) => {
     const digest = i.toString(16).padStart(32, '0');
     return { digest, customer: `c${i % 8}`, request: digest };
   });
-  const { state } = holdEnd(EMPTY_QUARANTINE, 'i-0123456789@1790000000000', lost, 0);
-  const messages = writeNews(state, [...state.values()], 0);
+  const { state } = recordSuspects(EMPTY_QUARANTINE, 'i-0123456789@1790000000000', lost, 0);
+  const messages = toQuarantineUpdates(state, [...state.values()], 0);
   const records = messages.flatMap((message) => message.records);
   report('quarantine-set', {
     seed,
     suspects: state.size,
     bytes: JSON.stringify(records).length,
     hashUs: timeOf(() => hashQuarantine(state)),
-    mergeUs: timeOf(() => mergeNews(state, records, 0)),
+    mergeUs: timeOf(() => mergeSuspectRecords(state, records, 0)),
   });
 }
 
--- a/bench/BenchQuarantineModel.ts
+++ b/bench/BenchQuarantineModel.ts
@@ -4,8 +4,8 @@
 import {
   clearSuspect,
   EMPTY_QUARANTINE,
-  endsHeld,
-  holdEnd,
+  crashCount,
+  recordSuspects,
   type QuarantineState,
 } from '../src/coordination/index.js';
 
@@ -155,7 +155,7 @@
 
   #send(item: Omit<Item, 'endAt'>, now: number): void {
     const suspect = this.#state.get(item.digest);
-    if (suspect !== undefined && endsHeld(suspect) >= this.#mostEnds) {
+    if (suspect !== undefined && crashCount(suspect) >= this.#mostEnds) {
       this.#count.wronglyHeld += item.isGuilty ? 0 : 1;
       return;
     }
@@ -172,7 +172,7 @@
     const items = this.#running[at] ?? [];
     const life = `${at}@${this.#life[at] ?? 0}`;
     const suspects = items.map(({ digest }) => ({ digest, customer: '', request: digest }));
-    this.#state = holdEnd(this.#state, life, suspects, now).state;
+    this.#state = recordSuspects(this.#state, life, suspects, now).state;
     this.#life[at] = (this.#life[at] ?? 0) + 1;
     this.#downUntil[at] = now + DOWN_MS;
     const dropped = this.#shape.isGroup ? this.#running.flat() : items;
--- a/fuzz/FuzzEntry.ts
+++ b/fuzz/FuzzEntry.ts
@@ -67,7 +67,7 @@
     registry: new Registry(),
     rng,
     now: () => performance.now(),
-    clocks: () => ({ steady: performance.now(), wall: Date.now() }),
+    clocks: () => ({ monotonic: performance.now(), wall: Date.now() }),
     random: () => uniformFloat64(rng),
     incarnation: 1,
   };
--- a/src/coordination/Freshness.ts
+++ b/src/coordination/ConfigFreshness.ts
@@ -11,7 +11,7 @@
 
 /** Both clocks of a host, read together; ms. */
 export interface ClockReading {
-  readonly steady: number;
+  readonly monotonic: number;
   /** Time of day. */
   readonly wall: number;
 }
@@ -19,48 +19,48 @@
 /** What an entry process knows of its configuration's age. */
 export interface FreshnessState {
   /** Log index of the configuration held; 0 for none. */
-  readonly held: number;
+  readonly heldConfigIndex: number;
   /** When the newest question was sent whose answer the configuration held satisfies, ms. */
   readonly provenAt: ClockReading | null;
   /** An answer that names a configuration still on its way here. */
-  readonly open: { readonly index: number; readonly askedAt: ClockReading } | null;
+  readonly pending: { readonly index: number; readonly requestedAt: ClockReading } | null;
 }
 
 /** Nothing known. */
-export const UNPROVEN: FreshnessState = { held: 0, provenAt: null, open: null };
+export const UNPROVEN: FreshnessState = { heldConfigIndex: 0, provenAt: null, pending: null };
 
 /** Part of the time allowed for a withdrawal that a lease lasts; the rest covers clock rates. */
-export const FRESHNESS_SHARE = 0.92;
+export const FRESHNESS_LEASE_FRACTION = 0.92;
 
 /** Clocks that differ by more have been set or stood still; adjustment is far slower. In ms. */
-const CLOCK_SLACK_MS = 250;
+const MAX_CLOCK_DIVERGENCE_MS = 250;
 
-function later(a: ClockReading | null, b: ClockReading): ClockReading {
-  return a !== null && a.steady > b.steady ? a : b;
+function newerOf(a: ClockReading | null, b: ClockReading): ClockReading {
+  return a !== null && a.monotonic > b.monotonic ? a : b;
 }
 
 /** Takes a configuration in. */
-export function holdConfig(state: FreshnessState, index: number): FreshnessState {
-  const { open } = state;
-  if (open === null || index < open.index) {
-    return { ...state, held: index };
+export function receiveConfig(state: FreshnessState, index: number): FreshnessState {
+  const { pending } = state;
+  if (pending === null || index < pending.index) {
+    return { ...state, heldConfigIndex: index };
   }
-  return { held: index, provenAt: later(state.provenAt, open.askedAt), open: null };
+  return { heldConfigIndex: index, provenAt: newerOf(state.provenAt, pending.requestedAt), pending: null };
 }
 
 /** Takes the answer to a question that was sent at `askedAt`. */
-export function proveFresh(
+export function receiveNewestIndex(
   state: FreshnessState,
   newest: number,
-  askedAt: ClockReading,
+  requestedAt: ClockReading,
 ): FreshnessState {
   if (newest === 0) {
     return state;
   }
-  if (state.held >= newest) {
-    return { ...state, provenAt: later(state.provenAt, askedAt) };
+  if (state.heldConfigIndex >= newest) {
+    return { ...state, provenAt: newerOf(state.provenAt, requestedAt) };
   }
-  return { ...state, open: { index: newest, askedAt } };
+  return { ...state, pending: { index: newest, requestedAt } };
 }
 
 /**
@@ -81,7 +81,7 @@
   if (provenAt === null) {
     return false;
   }
-  const steady = now.steady - provenAt.steady;
+  const steady = now.monotonic - provenAt.monotonic;
   const wall = now.wall - provenAt.wall;
-  return steady < leaseMs && Math.abs(wall - steady) < CLOCK_SLACK_MS;
+  return steady < leaseMs && Math.abs(wall - steady) < MAX_CLOCK_DIVERGENCE_MS;
 }
--- a/src/coordination/Consensus.ts
+++ b/src/coordination/Consensus.ts
@@ -4,7 +4,7 @@
  */
 import {
   becomeFollower,
-  isOutOfTouch,
+  hasLostQuorum,
   onPreVote,
   onPreVoteReply,
   onVote,
@@ -34,7 +34,7 @@
   ConsensusStep,
 } from './ConsensusTypes.js';
 
-type Of<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
+type MessageOf<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
 
 /** What a replica finds on its disk, or was founded with. */
 export interface ConsensusRecovery {
@@ -61,7 +61,7 @@
     members: membersOf(snapshot, log),
     electionAt: nextPreVote(ctx),
     heardAt: ctx.now,
-    beatAt: ctx.now,
+    heartbeatAt: ctx.now,
     votes: [],
     progress: {},
     round: 0,
@@ -85,7 +85,7 @@
 }
 
 /** Hears a leader of the current term. */
-function follow(state: ConsensusState, from: string, ctx: ConsensusContext): ConsensusStep {
+function followLeader(state: ConsensusState, from: string, ctx: ConsensusContext): ConsensusStep {
   const step: ConsensusStep =
     state.role === 'follower'
       ? { state, outputs: [] }
@@ -107,13 +107,13 @@
 function onAppend(
   state: ConsensusState,
   from: string,
-  message: Of<'append'>,
+  message: MessageOf<'append'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   if (message.term < state.term) {
     return reply(state, from, false, 0, message.round);
   }
-  const heard = follow(state, from, ctx);
+  const heard = followLeader(state, from, ctx);
   const { prevIndex, prevTerm, entries, round } = message;
   const known = prevIndex < state.snapshot.index || termAt(state, prevIndex) === prevTerm;
   if (!known) {
@@ -129,13 +129,13 @@
 function onInstall(
   state: ConsensusState,
   from: string,
-  message: Of<'install'>,
+  message: MessageOf<'install'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   if (message.term < state.term) {
     return reply(state, from, false, 0, message.round);
   }
-  const heard = follow(state, from, ctx);
+  const heard = followLeader(state, from, ctx);
   const { snapshot, round } = message;
   if (snapshot.index <= state.commit) {
     return chain(heard, (next) => reply(next, from, true, snapshot.index, round));
@@ -161,7 +161,7 @@
   readonly [T in ConsensusMessage['type']]: (
     state: ConsensusState,
     from: string,
-    message: Of<T>,
+    message: MessageOf<T>,
     ctx: ConsensusContext,
   ) => ConsensusStep;
 };
@@ -177,7 +177,7 @@
 };
 
 /** Pre-votes name a term that nobody is in yet; they must not raise ours. */
-function raisesTerm(state: ConsensusState, message: ConsensusMessage): boolean {
+function hasNewerTerm(state: ConsensusState, message: ConsensusMessage): boolean {
   return message.term > state.term && message.type !== 'preVote' && message.type !== 'preVoteReply';
 }
 
@@ -189,7 +189,7 @@
   const { from, message } = input;
   const handler = MESSAGE_HANDLERS[message.type] as MessageHandlers[keyof MessageHandlers] &
     ((s: ConsensusState, f: string, m: ConsensusMessage, c: ConsensusContext) => ConsensusStep);
-  const first: ConsensusStep = raisesTerm(state, message)
+  const first: ConsensusStep = hasNewerTerm(state, message)
     ? becomeFollower(state, message.term, null, ctx)
     : { state, outputs: [] };
   return chain(first, (next) => handler(next, from, message, ctx));
@@ -197,10 +197,10 @@
 
 function onTick(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   if (state.role === 'leader') {
-    if (isOutOfTouch(state, ctx.now)) {
+    if (hasLostQuorum(state, ctx.now)) {
       return becomeFollower(state, state.term, null, ctx);
     }
-    return ctx.now >= state.beatAt ? broadcast(state, ctx) : { state, outputs: [] };
+    return ctx.now >= state.heartbeatAt ? broadcast(state, ctx) : { state, outputs: [] };
   }
   return ctx.now >= state.electionAt ? startElection(state, ctx) : { state, outputs: [] };
 }
@@ -209,7 +209,7 @@
   return { state, outputs: [{ type: 'refused', id, leader: state.leader }] };
 }
 
-function announce(step: ConsensusStep, id: string, index: number): ConsensusStep {
+function prependProposed(step: ConsensusStep, id: string, index: number): ConsensusStep {
   return {
     ...step,
     outputs: [{ type: 'proposed', id, index, term: step.state.term }, ...step.outputs],
@@ -223,7 +223,7 @@
   return added.length + removed.length <= 1 && to.voters.length > 0;
 }
 
-function hasOpenChange(state: ConsensusState): boolean {
+function hasUncommittedChange(state: ConsensusState): boolean {
   return state.log.some(({ index, payload }) => index > state.commit && payload.kind === 'members');
 }
 
@@ -234,11 +234,11 @@
 ): ConsensusStep {
   // Before it has committed in its own term a leader may not know the newest members.
   const ready = state.role === 'leader' && termAt(state, state.commit) === state.term;
-  if (!ready || hasOpenChange(state) || !isSafeChange(state.members, input.members)) {
+  if (!ready || hasUncommittedChange(state) || !isSafeChange(state.members, input.members)) {
     return refuse(state, input.id);
   }
   const step = appendAsLeader(state, { kind: 'members', members: input.members }, ctx);
-  return announce(step, input.id, lastIndex(state) + 1);
+  return prependProposed(step, input.id, lastIndex(state) + 1);
 }
 
 function onCompact(
@@ -249,15 +249,15 @@
   if (term === undefined || input.index <= state.snapshot.index || input.index > state.commit) {
     return { state, outputs: [] };
   }
-  const cut = input.index - state.snapshot.index;
+  const compactedCount = input.index - state.snapshot.index;
   const snapshot: ConsensusSnapshot = {
     index: input.index,
     term,
-    members: membersOf(state.snapshot, state.log.slice(0, cut)),
+    members: membersOf(state.snapshot, state.log.slice(0, compactedCount)),
     image: input.image,
   };
   return {
-    state: { ...state, snapshot, log: state.log.slice(cut) },
+    state: { ...state, snapshot, log: state.log.slice(compactedCount) },
     outputs: [{ type: 'persistSnapshot', snapshot }],
   };
 }
@@ -275,7 +275,7 @@
   message: onMessage,
   propose: (state, { id, command }, ctx) =>
     state.role === 'leader'
-      ? announce(appendAsLeader(state, { kind: 'command', command }, ctx), id, lastIndex(state) + 1)
+      ? prependProposed(appendAsLeader(state, { kind: 'command', command }, ctx), id, lastIndex(state) + 1)
       : refuse(state, id),
   members: onMembers,
   read: (state, { id }, ctx) =>
--- a/src/coordination/ConsensusConstants.ts
+++ b/src/coordination/ConsensusConstants.ts
@@ -8,10 +8,10 @@
  * much again. A pre-vote deposes nobody, so that asking often is safe; more than a heartbeat's time lets a leader be
  * heard first. In ms.
  */
-export const PRE_VOTE_MS = 200;
+export const PRE_VOTE_INTERVAL_MS = 200;
 
 /** A leader sends at least this often. In ms. */
 export const HEARTBEAT_MS = 150;
 
 /** Entries in one message at most, so that one that lags can't hold up the rest. */
-export const APPEND_BATCH = 128;
+export const MAX_APPEND_ENTRIES = 128;
--- a/src/coordination/ConsensusElection.ts
+++ b/src/coordination/ConsensusElection.ts
@@ -9,7 +9,7 @@
   peersOf,
   termAt,
 } from './ConsensusLog.js';
-import { lead } from './ConsensusReplication.js';
+import { becomeLeader } from './ConsensusReplication.js';
 import type {
   ConsensusContext,
   ConsensusMessage,
@@ -18,7 +18,7 @@
   ConsensusStep,
 } from './ConsensusTypes.js';
 
-type Of<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
+type MessageOf<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
 
 /** Goes to a term as a follower. Forgets the vote only if the term is new. */
 export function becomeFollower(
@@ -49,24 +49,24 @@
   };
 }
 
-function askVotes(state: ConsensusState, type: 'preVote' | 'vote', term: number): ConsensusStep {
+function requestVotes(state: ConsensusState, type: 'preVote' | 'vote', term: number): ConsensusStep {
   const last = lastIndex(state);
   const message = { type, term, lastIndex: last, lastTerm: termAt(state, last) ?? 0 };
   const others = state.members.voters.filter((id) => id !== state.id);
   return { state, outputs: others.map((to) => ({ type: 'send', to, message })) };
 }
 
-function stand(state: ConsensusState, role: ConsensusRole, electionAt: number): ConsensusState {
+function toCandidate(state: ConsensusState, role: ConsensusRole, electionAt: number): ConsensusState {
   return { ...state, role, leader: null, votes: [state.id], electionAt };
 }
 
 function campaign(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   const hard = { term: state.term + 1, vote: state.id };
-  const next: ConsensusState = { ...stand(state, 'candidate', nextElection(ctx)), ...hard };
-  const begun: ConsensusStep = { state: next, outputs: [{ type: 'persistHard', hard }] };
+  const next: ConsensusState = { ...toCandidate(state, 'candidate', nextElection(ctx)), ...hard };
+  const started: ConsensusStep = { state: next, outputs: [{ type: 'persistHard', hard }] };
   return isQuorum(next.members, next.votes)
-    ? chain(begun, (now) => lead(now, ctx))
-    : chain(begun, (now) => askVotes(now, 'vote', now.term));
+    ? chain(started, (now) => becomeLeader(now, ctx))
+    : chain(started, (now) => requestVotes(now, 'vote', now.term));
 }
 
 /**
@@ -80,13 +80,13 @@
   if (!state.members.voters.includes(state.id)) {
     return { state: { ...state, electionAt: nextElection(ctx) }, outputs: [] };
   }
-  const next = stand(state, 'preCandidate', nextPreVote(ctx));
+  const next = toCandidate(state, 'preCandidate', nextPreVote(ctx));
   return isQuorum(next.members, next.votes)
     ? campaign(next, ctx)
-    : askVotes(next, 'preVote', next.term + 1);
+    : requestVotes(next, 'preVote', next.term + 1);
 }
 
-function isUpToDate(state: ConsensusState, message: Of<'vote'> | Of<'preVote'>): boolean {
+function isUpToDate(state: ConsensusState, message: MessageOf<'vote'> | MessageOf<'preVote'>): boolean {
   const last = lastIndex(state);
   const lastTerm = termAt(state, last) ?? 0;
   return message.lastTerm !== lastTerm ? message.lastTerm > lastTerm : message.lastIndex >= last;
@@ -96,7 +96,7 @@
 export function onPreVote(
   state: ConsensusState,
   from: string,
-  message: Of<'preVote'>,
+  message: MessageOf<'preVote'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   const hearsLeader =
@@ -115,7 +115,7 @@
 export function onPreVoteReply(
   state: ConsensusState,
   from: string,
-  message: Of<'preVoteReply'>,
+  message: MessageOf<'preVoteReply'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   if (!message.granted && message.term > state.term) {
@@ -140,7 +140,7 @@
 export function onVote(
   state: ConsensusState,
   from: string,
-  message: Of<'vote'>,
+  message: MessageOf<'vote'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   const granted =
@@ -167,7 +167,7 @@
 export function onVoteReply(
   state: ConsensusState,
   from: string,
-  message: Of<'voteReply'>,
+  message: MessageOf<'voteReply'>,
   ctx: ConsensusContext,
 ): ConsensusStep {
   if (state.role !== 'candidate' || !message.granted || message.term !== state.term) {
@@ -175,7 +175,7 @@
   }
   const votes = [...new Set([...state.votes, from])];
   const next = { ...state, votes };
-  return isQuorum(next.members, votes) ? lead(next, ctx) : { state: next, outputs: [] };
+  return isQuorum(next.members, votes) ? becomeLeader(next, ctx) : { state: next, outputs: [] };
 }
 
 /**
@@ -185,7 +185,7 @@
  * submissions that can't be accepted and callers wait for nothing. Enough: it steps down by its own
  * clock; what it might send meanwhile carries an old term or token and is refused by receivers.
  */
-export function isOutOfTouch(state: ConsensusState, now: number): boolean {
+export function hasLostQuorum(state: ConsensusState, now: number): boolean {
   const heard = peersOf(state).filter(
     (id) => now - (state.progress[id]?.heardAt ?? 0) < ELECTION_TIMEOUT_MS * 2,
   );
--- a/src/coordination/ConsensusLog.ts
+++ b/src/coordination/ConsensusLog.ts
@@ -1,6 +1,6 @@
 /** Reading and extending a replica's log. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
-import { ELECTION_TIMEOUT_MS, PRE_VOTE_MS } from './ConsensusConstants.js';
+import { ELECTION_TIMEOUT_MS, PRE_VOTE_INTERVAL_MS } from './ConsensusConstants.js';
 import type {
   ConsensusContext,
   ConsensusEntry,
@@ -27,10 +27,10 @@
 export function entriesFrom(
   state: ConsensusState,
   index: number,
-  most = Infinity,
+  limit = Infinity,
 ): readonly ConsensusEntry[] {
   const start = index - state.snapshot.index - 1;
-  return state.log.slice(start, start + most);
+  return state.log.slice(start, start + limit);
 }
 
 /** The newest members in a snapshot and the entries behind it. */
@@ -60,7 +60,7 @@
 
 /** When a replica that hears no leader asks for pre-votes again; its peers may just be starting. */
 export function nextPreVote({ now, rng }: ConsensusContext): number {
-  return now + PRE_VOTE_MS + uniformInt(rng, 0, PRE_VOTE_MS);
+  return now + PRE_VOTE_INTERVAL_MS + uniformInt(rng, 0, PRE_VOTE_INTERVAL_MS);
 }
 
 /** Replaces all entries from the first of `entries` on. */
--- a/src/coordination/ConsensusReplication.ts
+++ b/src/coordination/ConsensusReplication.ts
@@ -1,5 +1,5 @@
 /** Replication: what a leader sends, and what it makes of the answers. */
-import { APPEND_BATCH, HEARTBEAT_MS } from './ConsensusConstants.js';
+import { MAX_APPEND_ENTRIES, HEARTBEAT_MS } from './ConsensusConstants.js';
 import {
   chain,
   commitTo,
@@ -22,7 +22,7 @@
 
 function progressOf(state: ConsensusState, id: string): ConsensusProgress {
   return (
-    state.progress[id] ?? { next: lastIndex(state) + 1, match: 0, heardAt: state.beatAt, round: 0 }
+    state.progress[id] ?? { next: lastIndex(state) + 1, match: 0, heardAt: state.heartbeatAt, round: 0 }
   );
 }
 
@@ -37,7 +37,7 @@
     term: state.term,
     prevIndex: next - 1,
     prevTerm,
-    entries: entriesFrom(state, next, APPEND_BATCH),
+    entries: entriesFrom(state, next, MAX_APPEND_ENTRIES),
     commit: state.commit,
     round: state.round,
   };
@@ -46,14 +46,14 @@
 /** Sends to every replica what it lacks; with nothing to send, a heartbeat. */
 export function broadcast(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   return {
-    state: { ...state, beatAt: ctx.now + HEARTBEAT_MS },
+    state: { ...state, heartbeatAt: ctx.now + HEARTBEAT_MS },
     outputs: peersOf(state).map((to) => ({ type: 'send', to, message: messageFor(state, to) })),
   };
 }
 
 type Transition = (state: ConsensusState) => ConsensusStep;
 
-const keep: Transition = (state) => ({ state, outputs: [] });
+const unchanged: Transition = (state) => ({ state, outputs: [] });
 
 function broadcastStep(ctx: ConsensusContext): Transition {
   return (state) => broadcast(state, ctx);
@@ -69,7 +69,7 @@
 }
 
 /** Voters that have synced an entry, as a leader knows; itself among them. */
-export function holdersOf(state: ConsensusState, index: number): readonly string[] {
+export function votersWithEntry(state: ConsensusState, index: number): readonly string[] {
   return state.members.voters.filter(
     (id) => id === state.id || progressOf(state, id).match >= index,
   );
@@ -92,13 +92,13 @@
  * Becomes leader, and states the members again: an entry of its own term, which commits what
  * earlier terms left and tells a replica that joined without a snapshot who the members are.
  */
-export function lead(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
-  const fresh = { next: lastIndex(state) + 1, match: 0, heardAt: ctx.now, round: 0 };
+export function becomeLeader(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
+  const initialProgress = { next: lastIndex(state) + 1, match: 0, heardAt: ctx.now, round: 0 };
   const next: ConsensusState = {
     ...state,
     role: 'leader',
     leader: state.id,
-    progress: Object.fromEntries(peersOf(state).map((id) => [id, fresh])),
+    progress: Object.fromEntries(peersOf(state).map((id) => [id, initialProgress])),
     reads: [],
   };
   const role: ConsensusOutput = { type: 'role', role: 'leader', term: state.term };
@@ -108,7 +108,7 @@
 }
 
 /** Reads whose round a quorum has answered are safe: no newer leader can have committed before. */
-function releaseReads(state: ConsensusState): ConsensusStep {
+function completeReads(state: ConsensusState): ConsensusStep {
   const confirms = (round: number): boolean =>
     isQuorum(state.members, [
       state.id,
@@ -142,10 +142,10 @@
   const next = { ...state, progress: { ...state.progress, [from]: progress } };
   const advanced = chain({ state: next, outputs: [] }, advanceCommit);
   // Told at once rather than with the next heartbeat: what followers serve waits for it.
-  const told = advanced.state.commit > next.commit ? broadcastStep(ctx) : keep;
-  const committed = chain(chain(advanced, told), releaseReads);
-  const lags = progress.next <= lastIndex(committed.state) && (!message.ok || match > known.match);
-  return lags
+  const notifyFollowers = advanced.state.commit > next.commit ? broadcastStep(ctx) : unchanged;
+  const committed = chain(chain(advanced, notifyFollowers), completeReads);
+  const isBehind = progress.next <= lastIndex(committed.state) && (!message.ok || match > known.match);
+  return isBehind
     ? chain(committed, (now) => ({
         state: now,
         outputs: [{ type: 'send', to: from, message: messageFor(now, from) }],
@@ -158,5 +158,5 @@
   const round = state.round + 1;
   const read = { id, index: state.commit, round };
   const next = { ...state, round, reads: [...state.reads, read] };
-  return chain(broadcast(next, ctx), releaseReads);
+  return chain(broadcast(next, ctx), completeReads);
 }
--- a/src/coordination/ConsensusTypes.ts
+++ b/src/coordination/ConsensusTypes.ts
@@ -34,16 +34,16 @@
   readonly vote: string | null;
 }
 
-interface Termed {
+interface WithTerm {
   readonly term: number;
 }
 
-interface VoteRequest extends Termed {
+interface VoteRequest extends WithTerm {
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-interface VoteReply extends Termed {
+interface VoteReply extends WithTerm {
   readonly granted: boolean;
 }
 
@@ -60,19 +60,19 @@
       readonly entries: readonly ConsensusEntry[];
       readonly commit: number;
       readonly round: number;
-    } & Termed)
+    } & WithTerm)
   | ({
       readonly type: 'appendReply';
       readonly ok: boolean;
       /** Index up to which the follower's log is known to be the leader's; a hint when not ok. */
       readonly match: number;
       readonly round: number;
-    } & Termed)
+    } & WithTerm)
   | ({
       readonly type: 'install';
       readonly snapshot: ConsensusSnapshot;
       readonly round: number;
-    } & Termed);
+    } & WithTerm);
 
 /** Role of a replica in its term. */
 export type ConsensusRole = 'follower' | 'preCandidate' | 'candidate' | 'leader';
@@ -110,7 +110,7 @@
   /** When a current leader was last heard, ms. */
   readonly heardAt: number;
   /** When the leader sends next, ms. */
-  readonly beatAt: number;
+  readonly heartbeatAt: number;
   readonly votes: readonly string[];
   readonly progress: Readonly<Record<string, ConsensusProgress>>;
   readonly round: number;
--- a/src/coordination/ConsensusVoters.ts
+++ b/src/coordination/ConsensusVoters.ts
@@ -13,7 +13,7 @@
  * the quorum by the time at which its successor must count, 4 s after its start; hosts that are only frozen
  * or cut off for longer come back as learners and are voters again within a second.
  */
-export const SILENT_VOTER_MS = 3_000;
+export const UNREACHABLE_VOTER_MS = 3_000;
 
 /** What a leader knows beside its own term. */
 export interface VoterView {
@@ -31,7 +31,7 @@
 }
 
 /** A voter whose host has returned with a new data folder and is a voter under another id. */
-function findForgotten({ voters }: ConsensusMembers): string | undefined {
+function findSuperseded({ voters }: ConsensusMembers): string | undefined {
   return voters.find((id, i) =>
     voters.slice(i + 1).some((other) => replicaName(other) === replicaName(id)),
   );
@@ -43,35 +43,35 @@
  * Failure: leaders change while a host is gone. Symptom: counted from each election anew, its silence is
  * noticed late or never, and it still votes when the next disk is lost. Enough: links outlive elections.
  */
-function isSilent({ id, progress }: ConsensusState, replica: string, view: VoterView): boolean {
+function isUnreachable({ id, progress }: ConsensusState, replica: string, view: VoterView): boolean {
   const heard = [progress[replica]?.heardAt, view.heardAt(replica)];
-  return replica !== id && heard.some((at) => at !== undefined && view.now - at > SILENT_VOTER_MS);
+  return replica !== id && heard.some((at) => at !== undefined && view.now - at > UNREACHABLE_VOTER_MS);
 }
 
 /** Voters with which every quorum holds an entry on one more disk than may be lost. */
-function leastVoters({ lossesBorne }: VoterView): number {
+function minVoters({ lossesBorne }: VoterView): number {
   return 2 * lossesBorne + 1;
 }
 
 /** Tells whether the quorum gets smaller when silent voters are dropped, and stays large enough. */
-function hasSurplus(voters: readonly string[], silent: number, view: VoterView): boolean {
+function canDropVoter(voters: readonly string[], unreachable: number, view: VoterView): boolean {
   const dropped = voters.length % 2 === 0 ? 1 : 2;
-  return silent >= dropped && voters.length - dropped >= leastVoters(view);
+  return unreachable >= dropped && voters.length - dropped >= minVoters(view);
 }
 
-function drop({ voters, learners }: ConsensusMembers, replica: string): ConsensusMembers {
+function removeVoter({ voters, learners }: ConsensusMembers, replica: string): ConsensusMembers {
   return { voters: voters.filter((id) => id !== replica), learners };
 }
 
-function promote({ voters, learners }: ConsensusMembers, replica: string): ConsensusMembers {
+function promoteLearner({ voters, learners }: ConsensusMembers, replica: string): ConsensusMembers {
   return { voters: [...voters, replica], learners: learners.filter((id) => id !== replica) };
 }
 
 /** A learner that is heard and has all that is committed. */
-function findReady(state: ConsensusState, view: VoterView): string | undefined {
+function findCaughtUp(state: ConsensusState, view: VoterView): string | undefined {
   const { members, progress, commit } = state;
   return members.learners.find(
-    (id) => commit > 0 && (progress[id]?.match ?? 0) >= commit && !isSilent(state, id, view),
+    (id) => commit > 0 && (progress[id]?.match ?? 0) >= commit && !isUnreachable(state, id, view),
   );
 }
 
@@ -94,17 +94,17 @@
 export function nextVoterChange(state: ConsensusState, view: VoterView): VoterChange | null {
   const { members } = state;
   const { voters } = members;
-  const forgotten = findForgotten(members);
-  if (forgotten !== undefined) {
-    return { members: drop(members, forgotten), reason: 'forgotten', replica: forgotten };
+  const superseded = findSuperseded(members);
+  if (superseded !== undefined) {
+    return { members: removeVoter(members, superseded), reason: 'forgotten', replica: superseded };
   }
-  const ready = findReady(state, view);
-  if (ready !== undefined) {
-    return { members: promote(members, ready), reason: 'caughtUp', replica: ready };
+  const caughtUp = findCaughtUp(state, view);
+  if (caughtUp !== undefined) {
+    return { members: promoteLearner(members, caughtUp), reason: 'caughtUp', replica: caughtUp };
   }
-  const silent = voters.filter((id) => isSilent(state, id, view));
-  const [gone] = silent;
-  return gone !== undefined && hasSurplus(voters, silent.length, view)
-    ? { members: drop(members, gone), reason: 'silent', replica: gone }
+  const unreachable = voters.filter((id) => isUnreachable(state, id, view));
+  const [dropped] = unreachable;
+  return dropped !== undefined && canDropVoter(voters, unreachable.length, view)
+    ? { members: removeVoter(members, dropped), reason: 'silent', replica: dropped }
     : null;
 }
--- a/src/coordination/EndpointLimits.ts
+++ b/src/coordination/EndpointLimits.ts
@@ -6,7 +6,7 @@
  * whose answer named it was sent by a process that knew the other. What can't be proven errs towards the limit.
  */
 import type { LimitNews, LimitRecord, NamedLimit } from '../protocol/index.js';
-import type { EndpointLife } from './EndpointEnds.js';
+import type { IncarnationKey } from './EndpointCrashes.js';
 import { hashText } from './RoutingHash.js';
 
 /** A limit as this process holds it; times in ms on the local monotonic clock. */
@@ -19,7 +19,7 @@
 }
 
 /** All limits, by life; those that are lifted are kept, so that late news of them changes nothing. */
-export type LimitsState = ReadonlyMap<EndpointLife, EndpointLimit>;
+export type LimitsState = ReadonlyMap<IncarnationKey, EndpointLimit>;
 
 /** No endpoint has named a limit. */
 export const NO_LIMITS: LimitsState = new Map();
@@ -59,7 +59,7 @@
 }
 
 /** The clock by which a request to an endpoint is marked when it is sent. */
-export function clockOf(state: LimitsState, life: EndpointLife): number {
+export function clockOf(state: LimitsState, life: IncarnationKey): number {
   return state.get(life)?.clock ?? 0;
 }
 
@@ -112,7 +112,7 @@
 
 function takeLimit(
   state: LimitsState,
-  life: EndpointLife,
+  life: IncarnationKey,
   sent: LimitMark,
   perSecond: number,
   now: number,
@@ -133,7 +133,7 @@
 
 function takeNone(
   state: LimitsState,
-  life: EndpointLife,
+  life: IncarnationKey,
   sent: LimitMark,
   now: number,
 ): LimitsStep {
@@ -147,7 +147,7 @@
 /** Takes what an answer of an endpoint names; `sent` is the mark of its request. */
 export function takeNamedLimit(
   state: LimitsState,
-  life: EndpointLife,
+  life: IncarnationKey,
   sent: LimitMark,
   limit: NamedLimit,
   now: number,
--- a/src/coordination/EndpointRests.ts
+++ b/src/coordination/EndpointRests.ts
@@ -3,7 +3,7 @@
  * here. What waits for its end goes one request after the other, as an endpoint that was in need is no more than likely
  * to be well.
  */
-import type { EndpointLife } from './EndpointEnds.js';
+import type { IncarnationKey } from './EndpointCrashes.js';
 import { paceWait, type SendPace } from './LimitShare.js';
 
 /** Time between two requests to an endpoint whose rest has just ended, ms. */
@@ -19,7 +19,7 @@
 }
 
 /** Endpoints at rest, and those for whose end of rest something has waited. */
-export type RestPaces = ReadonlyMap<EndpointLife, RestPace>;
+export type RestPaces = ReadonlyMap<IncarnationKey, RestPace>;
 
 function withoutFirst(paces: RestPaces): RestPaces {
   const [first] = [...paces].sort(([, a], [, b]) => a.until - b.until);
@@ -29,7 +29,7 @@
 /** Takes a rest that was asked for now. It may lengthen one that runs, and never shortens it. */
 export function takeRest(
   paces: RestPaces,
-  life: EndpointLife,
+  life: IncarnationKey,
   restMs: number,
   now: number,
 ): RestPaces {
--- a/src/coordination/Lease.ts
+++ b/src/coordination/Lease.ts
@@ -13,10 +13,10 @@
 export const LEASE_MS = 800;
 
 /** A holder renews this long after its last request; one lost packet is borne. In ms. */
-export const RENEW_MS = 200;
+export const RENEW_INTERVAL_MS = 200;
 
 /** A rival waits this much longer than the lease, for clocks that run at different speeds. ms. */
-export const LEASE_MARGIN_MS = 150;
+export const LEASE_CLOCK_MARGIN_MS = 150;
 
 /** What an endpoint process knows of its group's lease. */
 export interface LeaseView {
@@ -26,10 +26,10 @@
   readonly held: { readonly token: number; readonly until: number } | null;
   /** The last lease seen, and since when it has been seen unchanged, ms. */
   readonly seen: LeaseState | null;
-  readonly seenAt: number;
+  readonly unchangedSince: number;
   /** When the open request was sent; null for none. */
-  readonly askedAt: number | null;
-  readonly nextAskAt: number;
+  readonly requestedAt: number | null;
+  readonly nextRequestAt: number;
 }
 
 /** What goes in. */
@@ -57,7 +57,7 @@
 
 /** An endpoint process that knows nothing yet. */
 export function initLease(self: string, group: string, now: number): LeaseView {
-  return { self, group, held: null, seen: null, seenAt: now, askedAt: null, nextAskAt: now };
+  return { self, group, held: null, seen: null, unchangedSince: now, requestedAt: null, nextRequestAt: now };
 }
 
 /**
@@ -79,23 +79,23 @@
   return (
     state.seen === null ||
     state.seen.holder === state.self ||
-    now - state.seenAt > LEASE_MS + LEASE_MARGIN_MS
+    now - state.unchangedSince > LEASE_MS + LEASE_CLOCK_MARGIN_MS
   );
 }
 
 function onTick(state: LeaseView, now: number): LeaseStep {
   const dropped = dropExpired(state, now);
-  if (state.askedAt !== null || now < state.nextAskAt) {
+  if (state.requestedAt !== null || now < state.nextRequestAt) {
     return dropped;
   }
-  const ask: LeaseOutput = {
+  const request: LeaseOutput = {
     type: 'ask',
     after: { token: state.seen?.token ?? 0 },
     observe: !mayTakeOver(state, now),
   };
   return {
-    state: { ...dropped.state, askedAt: now, nextAskAt: now + RENEW_MS },
-    outputs: [...dropped.outputs, ask],
+    state: { ...dropped.state, requestedAt: now, nextRequestAt: now + RENEW_INTERVAL_MS },
+    outputs: [...dropped.outputs, request],
   };
 }
 
@@ -105,15 +105,15 @@
   now: number,
 ): LeaseStep {
   // Counted from the request, not the answer: the answer may have been under way for long.
-  const until = (state.askedAt ?? now) + grant.durationMs;
+  const until = (state.requestedAt ?? now) + grant.durationMs;
   const seen: LeaseState = { holder: grant.holder, token: grant.token, renewals };
   const gained = state.held?.token !== grant.token;
   const next: LeaseView = {
     ...state,
     held: { token: grant.token, until },
     seen,
-    seenAt: now,
-    askedAt: null,
+    unchangedSince: now,
+    requestedAt: null,
   };
   return { state: next, outputs: gained ? [{ type: 'gained', token: grant.token }] : [] };
 }
@@ -123,15 +123,15 @@
   { lease }: Extract<LeaseInput, { type: 'held' }>,
   now: number,
 ): LeaseStep {
-  const same = state.seen?.token === lease.token && state.seen.renewals === lease.renewals;
+  const isUnchanged = state.seen?.token === lease.token && state.seen.renewals === lease.renewals;
   const lost = state.held !== null && lease.token !== state.held.token;
   return {
     state: {
       ...state,
       held: lost ? null : state.held,
       seen: lease,
-      seenAt: same ? state.seenAt : now,
-      askedAt: null,
+      unchangedSince: isUnchanged ? state.unchangedSince : now,
+      requestedAt: null,
     },
     outputs: lost ? [{ type: 'lost' }] : [],
   };
@@ -149,7 +149,7 @@
   tick: (state, _input, now) => onTick(state, now),
   granted: onGranted,
   held: onHeld,
-  failed: (state) => ({ state: { ...state, askedAt: null }, outputs: [] }),
+  failed: (state) => ({ state: { ...state, requestedAt: null }, outputs: [] }),
 };
 
 /** One step of a lease's view. */
--- a/src/coordination/LeaseHolder.ts
+++ b/src/coordination/LeaseHolder.ts
@@ -12,7 +12,7 @@
   return `${id}@${incarnation}`;
 }
 
-function readHolder(name: string): LeaseHolder {
+function parseHolderName(name: string): LeaseHolder {
   const at = name.lastIndexOf('@');
   return { id: name.slice(0, at), incarnation: Number(name.slice(at + 1)) };
 }
@@ -23,11 +23,11 @@
  *
  * @param recordOf The newest record of a process, by its id.
  */
-export function hasHolderEnded(
+export function hasHolderTerminated(
   name: string,
   recordOf: (id: string) => MemberRecord | undefined,
 ): boolean {
-  const { id, incarnation } = readHolder(name);
+  const { id, incarnation } = parseHolderName(name);
   const record = recordOf(id);
   if (record === undefined) {
     return false;
--- a/src/coordination/LeaseKeeper.ts
+++ b/src/coordination/LeaseRenewals.ts
@@ -3,7 +3,7 @@
  * groups that renew every 2 s would else put 180 entries a second into it.
  */
 import type { LeaseState } from '../state/index.js';
-import { LEASE_MARGIN_MS, LEASE_MS } from './Lease.js';
+import { LEASE_CLOCK_MARGIN_MS, LEASE_MS } from './Lease.js';
 
 /** A renewal that the leader remembers. */
 interface Renewal {
@@ -14,30 +14,30 @@
 }
 
 /** What a leader remembers since its election. */
-export interface LeaseKeeperState {
+export interface LeaseRenewalsState {
   readonly electedAt: number;
   readonly renewals: ReadonlyMap<string, Renewal>;
 }
 
 /** A leader just elected. */
-export function initLeaseKeeper(now: number): LeaseKeeperState {
+export function initLeaseRenewals(now: number): LeaseRenewalsState {
   return { electedAt: now, renewals: new Map() };
 }
 
 /** Remembers that the holder of a lease has renewed it. */
-export function renewLease(
-  state: LeaseKeeperState,
+export function recordRenewal(
+  state: LeaseRenewalsState,
   group: string,
   token: number,
   now: number,
-): LeaseKeeperState {
+): LeaseRenewalsState {
   const known = state.renewals.get(group);
   const count = known?.token === token ? known.count + 1 : 1;
   return { ...state, renewals: new Map(state.renewals).set(group, { token, count, at: now }) };
 }
 
 /** How often a lease was renewed, as far as this leader knows; a rival sees by it that it lives. */
-export function countRenewals(state: LeaseKeeperState, group: string, token: number): number {
+export function countRenewals(state: LeaseRenewalsState, group: string, token: number): number {
   const known = state.renewals.get(group);
   return known?.token === token ? known.count : 0;
 }
@@ -50,7 +50,7 @@
  * its own election, the latest moment at which its predecessor can have done so.
  */
 export function mayGrant(
-  state: LeaseKeeperState,
+  state: LeaseRenewalsState,
   group: string,
   held: LeaseState | undefined,
   now: number,
@@ -60,5 +60,5 @@
   }
   const known = state.renewals.get(group);
   const renewedAt = known?.token === held.token ? known.at : state.electedAt;
-  return now - renewedAt > LEASE_MS + LEASE_MARGIN_MS;
+  return now - renewedAt > LEASE_MS + LEASE_CLOCK_MARGIN_MS;
 }
--- a/src/coordination/LimitShare.ts
+++ b/src/coordination/LimitShare.ts
@@ -5,7 +5,7 @@
  * A host can't send less than one request, so that every sender may have one out of step with the others: with all
  * hosts as senders a burst grows with their number, whatever the limit is. docs/design/limits.md compares the ways.
  */
-import type { EndpointLife } from './EndpointEnds.js';
+import type { IncarnationKey } from './EndpointCrashes.js';
 import { hashText, rendezvousOrder } from './RoutingHash.js';
 
 /** Senders to an endpoint: this many, and as many as its limit lets through in a time, ms. */
@@ -34,7 +34,7 @@
 
 /** The hosts that may send to an endpoint. */
 export function sendersTo(
-  life: EndpointLife,
+  life: IncarnationKey,
   perSecond: number,
   hosts: readonly string[],
 ): readonly string[] {
@@ -53,7 +53,7 @@
 /** Time between two requests of a host to an endpoint, ms. */
 export function intervalOf(
   self: string,
-  life: EndpointLife,
+  life: IncarnationKey,
   perSecond: number,
   hosts: readonly string[],
 ): number {
--- a/src/coordination/MembershipHub.ts
+++ b/src/coordination/MembershipHub.ts
@@ -18,7 +18,7 @@
   /** Members attached here, with the time at which they were last heard, ms. */
   readonly attached: ReadonlyMap<string, number>;
   /** Which control process told us of a member. */
-  readonly source: ReadonlyMap<string, string>;
+  readonly reportedBy: ReadonlyMap<string, string>;
   /** When members were seen to be gone, ms. */
   readonly goneAt: ReadonlyMap<string, number>;
 }
@@ -57,7 +57,7 @@
 export const EMPTY_MEMBERSHIP: MembershipState = {
   directory: new Map(),
   attached: new Map(),
-  source: new Map(),
+  reportedBy: new Map(),
   goneAt: new Map(),
 };
 
@@ -71,12 +71,12 @@
   if (changed.length === 0) {
     return { state, outputs: [] };
   }
-  const source = new Map(state.source);
+  const reportedBy = new Map(state.reportedBy);
   const attached = new Map(state.attached);
   const goneAt = new Map(state.goneAt);
   changed.forEach(({ id, status }) => {
     if (from !== null) {
-      source.set(id, from);
+      reportedBy.set(id, from);
       attached.delete(id);
     }
     if (status === 'gone') {
@@ -87,7 +87,7 @@
     }
   });
   return {
-    state: { directory, source, attached, goneAt },
+    state: { directory, reportedBy, attached, goneAt },
     outputs: [{ type: 'publish', records: changed, origin: from === null }],
   };
 }
@@ -105,23 +105,23 @@
   now: number,
 ): MembershipStep {
   const known = state.directory.get(record.id);
-  const clash =
+  const conflicts =
     known !== undefined &&
     (known.incarnation > record.incarnation ||
       (known.incarnation === record.incarnation && known.address !== record.address));
   const reply: HelloReply = {
-    accepted: !clash,
+    accepted: !conflicts,
     leastIncarnation: (known?.incarnation ?? 0) + 1,
   };
   const hello: MembershipOutput = { type: 'hello', id: record.id, reply };
-  if (clash) {
+  if (conflicts) {
     return { state, outputs: [hello] };
   }
   const merged = merge(state, [record], null, now);
-  const source = new Map(merged.state.source);
-  source.delete(record.id);
+  const reportedBy = new Map(merged.state.reportedBy);
+  reportedBy.delete(record.id);
   const attached = new Map(merged.state.attached).set(record.id, now);
-  return { state: { ...merged.state, attached, source }, outputs: [hello, ...merged.outputs] };
+  return { state: { ...merged.state, attached, reportedBy }, outputs: [hello, ...merged.outputs] };
 }
 
 /**
@@ -138,22 +138,22 @@
   now: number,
 ): MembershipStep {
   const listed = new Set(records.map(({ id }) => id));
-  const missing = [...state.source]
+  const missing = [...state.reportedBy]
     .filter(([id, peer]) => peer === from && !listed.has(id))
     .map(([id]) => state.directory.get(id))
     .filter((record): record is MemberRecord => record !== undefined && record.status !== 'gone');
-  const lost = missing
+  const departed = missing
     .filter(({ leaseMs }) => leaseMs === undefined)
     .map((record): MemberRecord => ({ ...record, status: 'gone' }));
-  const source = new Map(state.source);
+  const reportedBy = new Map(state.reportedBy);
   const attached = new Map(state.attached);
   missing
     .filter(({ leaseMs }) => leaseMs !== undefined)
     .forEach(({ id }) => {
-      source.delete(id);
+      reportedBy.delete(id);
       attached.set(id, now);
     });
-  return merge({ ...state, source, attached }, [...records, ...lost], from, now);
+  return merge({ ...state, reportedBy, attached }, [...records, ...departed], from, now);
 }
 
 /**
@@ -168,19 +168,19 @@
     .filter((record): record is MemberRecord => record !== undefined)
     .map((record): MemberRecord => ({ ...record, status: 'gone' }));
   const step = merge(state, expired, null, now);
-  const buried = [...step.state.goneAt].filter(([, at]) => now - at > TOMBSTONE_MS);
-  if (buried.length === 0) {
+  const expiredTombstones = [...step.state.goneAt].filter(([, at]) => now - at > TOMBSTONE_MS);
+  if (expiredTombstones.length === 0) {
     return step;
   }
   const directory = new Map(step.state.directory);
   const goneAt = new Map(step.state.goneAt);
-  const source = new Map(step.state.source);
-  buried.forEach(([id]) => {
+  const reportedBy = new Map(step.state.reportedBy);
+  expiredTombstones.forEach(([id]) => {
     directory.delete(id);
     goneAt.delete(id);
-    source.delete(id);
+    reportedBy.delete(id);
   });
-  return { ...step, state: { ...step.state, directory, goneAt, source } };
+  return { ...step, state: { ...step.state, directory, goneAt, reportedBy } };
 }
 
 function onHeard(state: MembershipState, ids: readonly string[], now: number): MembershipStep {
--- a/src/coordination/MembershipView.ts
+++ b/src/coordination/MembershipView.ts
@@ -3,7 +3,7 @@
 import { isNewerRecord } from '../state/index.js';
 
 /** How long a member missing from a full list is still used. In ms. */
-export const UNCONFIRMED_MS = 5_000;
+export const MISSING_GRACE_MS = 5_000;
 
 /** A member, and since when the newest full list has lacked it. */
 export interface ViewedMember {
@@ -47,10 +47,10 @@
   return next;
 }
 
-/** Drops members that are gone, or were missing for longer than {@link UNCONFIRMED_MS}. */
+/** Drops members that are gone, or were missing for longer than {@link MISSING_GRACE_MS}. */
 export function pruneView(view: MembershipView, now: number): MembershipView {
   const stale = [...view].filter(
-    ([, { missingSince }]) => missingSince !== null && now - missingSince > UNCONFIRMED_MS,
+    ([, { missingSince }]) => missingSince !== null && now - missingSince > MISSING_GRACE_MS,
   );
   if (stale.length === 0) {
     return view;
--- a/src/coordination/Quarantine.ts
+++ b/src/coordination/Quarantine.ts
@@ -9,13 +9,13 @@
  * A set that merges: ends and those cleared are unions, so that neither order nor repetition of news matters.
  */
 import type { QuarantineNews, SuspectRecord } from '../protocol/index.js';
-import type { EndpointLife, LostRequest } from './EndpointEnds.js';
+import type { IncarnationKey, LostRequest } from './EndpointCrashes.js';
 import { hashText } from './RoutingHash.js';
 
 /** What is held against one request. */
 export interface Suspect extends Omit<SuspectRecord, 'ageMs'> {
   /** When the last end was, ms on the local monotonic clock. */
-  readonly endedAt: number;
+  readonly lastCrashAt: number;
 }
 
 /** All suspects, by digest. */
@@ -28,55 +28,55 @@
  * Ends after which a request is held. The end of one rank takes the work of its whole group, for seconds: there two
  * must do, since a third costs more callers than are ever refused for having been neighbours twice.
  */
-export const MOST_ENDS = { group: 2, single: 3 } as const;
+export const QUARANTINE_CRASHES = { group: 2, single: 3 } as const;
 
 /** A request is forgotten this long after the last end; ms. A new version of the endpoints may well run it. */
-export const SUSPECT_MS = 600_000;
+export const SUSPECT_RETENTION_MS = 600_000;
 
 /** Suspects kept of one customer and in all: a hundred in progress at each of several endpoints that ended. */
-export const MOST_OF_CUSTOMER = 256;
-export const MOST_SUSPECTS = 1_024;
+export const MAX_SUSPECTS_PER_CUSTOMER = 256;
+export const MAX_SUSPECTS = 1_024;
 
 /** Ends kept of one request; more than are ever counted. */
-const MOST_KEPT_ENDS = 16;
+const MAX_CRASHES_PER_SUSPECT = 16;
 
 /** Suspects in one message. */
-const RECORDS_A_MESSAGE = 64;
+const MAX_RECORDS_PER_MESSAGE = 64;
 
 /** Ends that are held against a request. */
-export function endsHeld({ ends, cleared }: Pick<Suspect, 'ends' | 'cleared'>): number {
-  return ends.filter((life) => !cleared.includes(life)).length;
+export function crashCount({ ends, cleared }: Pick<Suspect, 'ends' | 'cleared'>): number {
+  return ends.filter((incarnationKey) => !cleared.includes(incarnationKey)).length;
 }
 
 /** Union of two sorted lists; what is beyond the bound is left out on every process alike. */
-function unite(a: readonly string[], b: readonly string[]): readonly string[] {
-  return [...new Set([...a, ...b])].sort().slice(0, MOST_KEPT_ENDS);
+function unionOf(a: readonly string[], b: readonly string[]): readonly string[] {
+  return [...new Set([...a, ...b])].sort().slice(0, MAX_CRASHES_PER_SUSPECT);
 }
 
-function isWithin(a: readonly string[], b: readonly string[]): boolean {
-  return a.every((life) => b.includes(life));
+function isSubset(a: readonly string[], b: readonly string[]): boolean {
+  return a.every((incarnationKey) => b.includes(incarnationKey));
 }
 
 /** When the last end was: told by whoever knows more ends, or has known the same ones for longer. */
-function lastEnd(a: Suspect, b: Suspect): number {
-  const aWithinB = isWithin(a.ends, b.ends);
-  const bWithinA = isWithin(b.ends, a.ends);
+function mergeLastCrashAt(a: Suspect, b: Suspect): number {
+  const aWithinB = isSubset(a.ends, b.ends);
+  const bWithinA = isSubset(b.ends, a.ends);
   if (aWithinB && bWithinA) {
-    return Math.min(a.endedAt, b.endedAt);
+    return Math.min(a.lastCrashAt, b.lastCrashAt);
   }
   if (aWithinB || bWithinA) {
-    return aWithinB ? b.endedAt : a.endedAt;
+    return aWithinB ? b.lastCrashAt : a.lastCrashAt;
   }
-  return Math.max(a.endedAt, b.endedAt);
+  return Math.max(a.lastCrashAt, b.lastCrashAt);
 }
 
 function mergeSuspect(a: Suspect, b: Suspect): Suspect {
   return {
     digest: a.digest,
     customer: a.customer,
-    ends: unite(a.ends, b.ends),
-    cleared: unite(a.cleared, b.cleared),
-    endedAt: lastEnd(a, b),
+    ends: unionOf(a.ends, b.ends),
+    cleared: unionOf(a.cleared, b.cleared),
+    lastCrashAt: mergeLastCrashAt(a, b),
   };
 }
 
@@ -86,7 +86,7 @@
 
 /** Most ends first: what is about to be held is kept. By digest then, so that all processes keep the same. */
 function compareSuspects(a: Suspect, b: Suspect): number {
-  return endsHeld(b) - endsHeld(a) || (a.digest < b.digest ? -1 : 1);
+  return crashCount(b) - crashCount(a) || (a.digest < b.digest ? -1 : 1);
 }
 
 /** Drops suspects beyond the bounds: a customer who sends a thousand fills only its own part. */
@@ -95,11 +95,11 @@
   const kept = [...state.values()].sort(compareSuspects).filter(({ customer }) => {
     const count = (counts.get(customer) ?? 0) + 1;
     counts.set(customer, count);
-    return count <= MOST_OF_CUSTOMER;
+    return count <= MAX_SUSPECTS_PER_CUSTOMER;
   });
-  return kept.length === state.size && kept.length <= MOST_SUSPECTS
+  return kept.length === state.size && kept.length <= MAX_SUSPECTS
     ? state
-    : new Map(kept.slice(0, MOST_SUSPECTS).map((suspect) => [suspect.digest, suspect]));
+    : new Map(kept.slice(0, MAX_SUSPECTS).map((suspect) => [suspect.digest, suspect]));
 }
 
 /** A set after a merge, with the suspects that are news. */
@@ -122,18 +122,18 @@
 }
 
 /** Holds the end of an endpoint's life against all that was in progress there. */
-export function holdEnd(
+export function recordSuspects(
   state: QuarantineState,
-  life: EndpointLife,
+  incarnationKey: IncarnationKey,
   lost: readonly LostRequest[],
   now: number,
 ): QuarantineStep {
   const suspects = lost.map(({ digest, customer }) => ({
     digest,
     customer,
-    ends: [life],
+    ends: [incarnationKey],
     cleared: [],
-    endedAt: now,
+    lastCrashAt: now,
   }));
   return merge(state, suspects);
 }
@@ -144,26 +144,26 @@
  */
 export function clearSuspect(state: QuarantineState, digest: string): QuarantineStep {
   const known = state.get(digest);
-  return known === undefined || endsHeld(known) === 0
+  return known === undefined || crashCount(known) === 0
     ? { state, changed: [] }
     : merge(state, [{ ...known, cleared: known.ends }]);
 }
 
 /** Takes another process's news, or its whole set. */
-export function mergeNews(
+export function mergeSuspectRecords(
   state: QuarantineState,
   records: readonly SuspectRecord[],
   now: number,
 ): QuarantineStep {
   const suspects = records
-    .filter(({ ageMs }) => ageMs < SUSPECT_MS)
-    .map(({ ageMs, ...record }) => ({ ...record, endedAt: now - ageMs }));
+    .filter(({ ageMs }) => ageMs < SUSPECT_RETENTION_MS)
+    .map(({ ageMs, ...record }) => ({ ...record, lastCrashAt: now - ageMs }));
   return merge(state, suspects);
 }
 
 /** Forgets what is too old; the same set where nothing is. */
-export function forgetOld(state: QuarantineState, now: number): QuarantineState {
-  const kept = [...state].filter(([, { endedAt }]) => now - endedAt < SUSPECT_MS);
+export function dropExpiredSuspects(state: QuarantineState, now: number): QuarantineState {
+  const kept = [...state].filter(([, { lastCrashAt }]) => now - lastCrashAt < SUSPECT_RETENTION_MS);
   return kept.length === state.size ? state : new Map(kept);
 }
 
@@ -176,16 +176,16 @@
 }
 
 /** Suspects as they are told to another process, in messages of a bounded size; one at least. */
-export function writeNews(
+export function toQuarantineUpdates(
   state: QuarantineState,
   suspects: readonly Suspect[],
   now: number,
 ): readonly QuarantineNews[] {
   const hash = hashQuarantine(state);
-  const records = suspects.map(({ endedAt, ...record }) => ({ ...record, ageMs: now - endedAt }));
-  const messages = Math.max(1, Math.ceil(records.length / RECORDS_A_MESSAGE));
+  const records = suspects.map(({ lastCrashAt, ...record }) => ({ ...record, ageMs: now - lastCrashAt }));
+  const messages = Math.max(1, Math.ceil(records.length / MAX_RECORDS_PER_MESSAGE));
   return Array.from({ length: messages }, (_item, i) => ({
-    records: records.slice(i * RECORDS_A_MESSAGE, (i + 1) * RECORDS_A_MESSAGE),
+    records: records.slice(i * MAX_RECORDS_PER_MESSAGE, (i + 1) * MAX_RECORDS_PER_MESSAGE),
     hash,
   }));
 }
--- a/src/coordination/Rollout.ts
+++ b/src/coordination/Rollout.ts
@@ -6,7 +6,7 @@
 import { deltasSince, type ConfigState } from '../state/index.js';
 
 /** How long a restarted control process waits for a leader before it serves what it holds. ms. */
-export const CHECK_MS = 2_000;
+export const CONFIRM_TIMEOUT_MS = 2_000;
 
 /** Where a control process stands after its start. */
 export type RolloutPhase = 'checking' | 'checked' | 'cutOff';
@@ -21,7 +21,7 @@
   readonly deltas: readonly ConfigDelta[];
   readonly subscribers: ReadonlyMap<
     string,
-    { readonly record: MemberRecord; readonly sent: number }
+    { readonly record: MemberRecord; readonly sentIndex: number }
   >;
 }
 
@@ -68,13 +68,13 @@
 }
 
 /** Tells whether an entry concerns a process: an endpoint needs its own service alone. */
-export function concerns(record: MemberRecord, key: string): boolean {
+export function isRelevantTo(record: MemberRecord, key: string): boolean {
   const { offer } = record;
   return record.role !== 'endpoint' || key === `${offer?.fleet}/service/${offer?.service}`;
 }
 
 function filterEntries(record: MemberRecord, entries: ConfigEntries): ConfigEntries {
-  return Object.fromEntries(Object.entries(entries).filter(([key]) => concerns(record, key)));
+  return Object.fromEntries(Object.entries(entries).filter(([key]) => isRelevantTo(record, key)));
 }
 
 function filterDelta(record: MemberRecord, delta: ConfigDelta): ConfigDelta {
@@ -84,14 +84,14 @@
   return {
     ...delta,
     set: filterEntries(record, delta.set),
-    del: delta.del.filter((key) => concerns(record, key)),
+    del: delta.del.filter((key) => isRelevantTo(record, key)),
   };
 }
 
 /** Entry processes that hold more than this one: only they hold the whole, an endpoint its share. */
-function findAhead({ subscribers, config }: RolloutState): readonly string[] {
+function findNewerHolders({ subscribers, config }: RolloutState): readonly string[] {
   return [...subscribers.values()]
-    .filter(({ record, sent }) => record.role === 'entry' && sent > config.index)
+    .filter(({ record, sentIndex }) => record.role === 'entry' && sentIndex > config.index)
     .map(({ record }) => record.id);
 }
 
@@ -100,19 +100,19 @@
  * heard of a newer configuration that it is fetching: a process that restarted would else take the
  * older one while its neighbour acts on the newer.
  */
-function push(state: RolloutState): RolloutStep {
-  const unsure = state.phase === 'checking' || findAhead(state).length > 0;
-  if (unsure || state.config.index === 0) {
+function pushUpdates(state: RolloutState): RolloutStep {
+  const mustWait = state.phase === 'checking' || findNewerHolders(state).length > 0;
+  if (mustWait || state.config.index === 0) {
     return { state, outputs: [] };
   }
-  const behind = [...state.subscribers.values()].filter(({ sent }) => sent < state.config.index);
-  if (behind.length === 0) {
+  const outdated = [...state.subscribers.values()].filter(({ sentIndex }) => sentIndex < state.config.index);
+  if (outdated.length === 0) {
     return { state, outputs: [] };
   }
   const subscribers = new Map(state.subscribers);
-  const outputs = behind.flatMap(({ record, sent }) => {
-    subscribers.set(record.id, { record, sent: state.config.index });
-    return deltasSince(state, sent).map((delta): RolloutOutput => ({
+  const outputs = outdated.flatMap(({ record, sentIndex }) => {
+    subscribers.set(record.id, { record, sentIndex: state.config.index });
+    return deltasSince(state, sentIndex).map((delta): RolloutOutput => ({
       type: 'send',
       to: record.id,
       delta: filterDelta(record, delta),
@@ -121,50 +121,50 @@
   return { state: { ...state, subscribers }, outputs };
 }
 
-function enter(state: RolloutState, phase: RolloutPhase): RolloutStep {
+function enterPhase(state: RolloutState, phase: RolloutPhase): RolloutStep {
   if (state.phase === phase) {
     return { state, outputs: [] };
   }
-  const pushed = push({ ...state, phase });
+  const pushed = pushUpdates({ ...state, phase });
   return { ...pushed, outputs: [{ type: 'phase', phase }, ...pushed.outputs] };
 }
 
 /** Takes a configuration only if it is newer: the index served never goes back. */
-function take(
+function adoptConfig(
   state: RolloutState,
   config: ConfigState,
   deltas: readonly ConfigDelta[],
 ): RolloutStep {
   return config.index > state.config.index
-    ? push({ ...state, config, deltas })
+    ? pushUpdates({ ...state, config, deltas })
     : { state, outputs: [] };
 }
 
 /** Asks those ahead for what they hold. */
-function fetchAhead(state: RolloutState): readonly RolloutOutput[] {
-  return findAhead(state).map((from) => ({ type: 'fetch', from }));
+function fetchNewer(state: RolloutState): readonly RolloutOutput[] {
+  return findNewerHolders(state).map((from) => ({ type: 'fetch', from }));
 }
 
 function onSubscribe(
   state: RolloutState,
   { record, held }: Extract<RolloutInput, { type: 'subscribe' }>,
 ): RolloutStep {
-  const subscribers = new Map(state.subscribers).set(record.id, { record, sent: held });
-  const pushed = push({ ...state, subscribers });
-  return { ...pushed, outputs: [...pushed.outputs, ...fetchAhead(pushed.state)] };
+  const subscribers = new Map(state.subscribers).set(record.id, { record, sentIndex: held });
+  const pushed = pushUpdates({ ...state, subscribers });
+  return { ...pushed, outputs: [...pushed.outputs, ...fetchNewer(pushed.state)] };
 }
 
 function onTick(state: RolloutState, now: number): RolloutStep {
-  const waited = state.phase === 'checking' && now - state.startedAt >= CHECK_MS;
-  const step = waited ? enter(state, 'cutOff') : { state, outputs: [] };
-  return { ...step, outputs: [...step.outputs, ...fetchAhead(step.state)] };
+  const hasTimedOut = state.phase === 'checking' && now - state.startedAt >= CONFIRM_TIMEOUT_MS;
+  const step = hasTimedOut ? enterPhase(state, 'cutOff') : { state, outputs: [] };
+  return { ...step, outputs: [...step.outputs, ...fetchNewer(step.state)] };
 }
 
 function onUnsubscribe(state: RolloutState, id: string): RolloutStep {
   const subscribers = new Map(state.subscribers);
   subscribers.delete(id);
   // If it was ahead and is gone, the others need no longer wait for what it held.
-  return push({ ...state, subscribers });
+  return pushUpdates({ ...state, subscribers });
 }
 
 function onGap(
@@ -174,7 +174,7 @@
   const known = state.subscribers.get(id);
   return known === undefined
     ? { state, outputs: [] }
-    : push({ ...state, subscribers: new Map(state.subscribers).set(id, { ...known, sent: held }) });
+    : pushUpdates({ ...state, subscribers: new Map(state.subscribers).set(id, { ...known, sentIndex: held }) });
 }
 
 type Handlers = {
@@ -186,11 +186,11 @@
 };
 
 const HANDLERS: Handlers = {
-  config: (state, { config, deltas }) => take(state, config, deltas),
-  confirmed: (state) => enter(state, 'checked'),
+  config: (state, { config, deltas }) => adoptConfig(state, config, deltas),
+  confirmed: (state) => enterPhase(state, 'checked'),
   subscribe: onSubscribe,
   unsubscribe: (state, { id }) => onUnsubscribe(state, id),
-  learned: (state, { config }) => take(state, config, []),
+  learned: (state, { config }) => adoptConfig(state, config, []),
   gap: onGap,
   tick: (state, _input, now) => onTick(state, now),
 };
--- a/src/coordination/__tests__/unit/Consensus.test.ts
+++ b/src/coordination/__tests__/unit/Consensus.test.ts
@@ -8,7 +8,7 @@
 const MEMBERS: ConsensusMembers = { voters: ['a', 'b', 'c'], learners: ['d'] };
 
 /** Part of the time to a first answer after a power loss, 0.8 s, that an election may take, ms. */
-const MOST_WAIT_MS = 500;
+const MAX_WAIT_MS = 500;
 
 type Action = readonly [kind: number, at: number];
 
@@ -48,9 +48,9 @@
         const cluster = new ConsensusCluster(MEMBERS);
         (actions as readonly Action[]).forEach(([kind, at], n) => ACTIONS[kind]?.(cluster, at, n));
         const before = new Map(cluster.committed);
-        cluster.settle(() => cluster.leader !== undefined);
+        cluster.runUntil(() => cluster.leader !== undefined);
         cluster.input(cluster.leader?.id ?? '', { type: 'propose', id: 'x', command: 'last' });
-        cluster.settle(() => [...cluster.committed.values()].some((text) => text.includes('last')));
+        cluster.runUntil(() => [...cluster.committed.values()].some((text) => text.includes('last')));
         before.forEach((text, index) => assert.equal(cluster.committed.get(index), text));
       }),
       { seed: 20_261_202, numRuns: 300 },
@@ -61,7 +61,7 @@
   // once it has been out of touch, and its reads must never be answered.
   it('steps down and refuses when out of touch with a quorum', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    cluster.settle(() => cluster.leader !== undefined && cluster.committed.size > 0);
+    cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const id = cluster.leader?.id ?? '';
     const read = cluster.input(id, { type: 'read', id: 'r' });
     assert.ok(read.every(({ type }) => type !== 'readReady'));
@@ -74,7 +74,7 @@
   // A replica was cut off, and campaigned in vain. When it returns, a healthy leader must go on.
   it('lets a replica that returns disturb nobody', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    cluster.settle(() => cluster.leader !== undefined && cluster.committed.size > 0);
+    cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const { id, term } = cluster.leader as ConsensusState;
     const other = IDS.find((one) => one !== id) ?? 'a';
     for (let i = 0; i < 20; i += 1) {
@@ -87,7 +87,7 @@
         cluster.input(to, { type: 'message', from, message }),
       );
     }
-    cluster.settle(() => cluster.state(other).leader === id);
+    cluster.runUntil(() => cluster.state(other).leader === id);
     assert.deepEqual([cluster.leader?.id, cluster.leader?.term], [id, term]);
   });
 
@@ -96,37 +96,37 @@
     const voters = ['a', 'b', 'c', 'd', 'e'];
     const waits = [0, 40, 90, 150, 230, 340, 480].map((gapMs) => {
       const cluster = new ConsensusCluster({ voters, learners: [] });
-      cluster.settle(() => cluster.leader !== undefined && cluster.committed.size > 0);
-      voters.forEach((id) => cluster.cut(id));
+      cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
+      voters.forEach((id) => cluster.isolate(id));
       const begun = cluster.now;
-      cluster.settle(() => {
+      cluster.runUntil(() => {
         const up = Math.floor((cluster.now - begun) / Math.max(1, gapMs));
-        voters.filter((id, i) => i <= up && cluster.isCut(id)).forEach((id) => cluster.boot(id));
+        voters.filter((id, i) => i <= up && cluster.isIsolated(id)).forEach((id) => cluster.reconnectAndRestart(id));
         return cluster.leader !== undefined;
       });
       return cluster.now - (begun + 2 * gapMs);
     });
-    assert.ok(Math.max(...waits) < MOST_WAIT_MS, waits.join(', '));
+    assert.ok(Math.max(...waits) < MAX_WAIT_MS, waits.join(', '));
   });
 
   it('brings a replica far behind up by a snapshot', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    cluster.settle(() => cluster.leader !== undefined && cluster.committed.size > 0);
+    cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const { id } = cluster.leader as ConsensusState;
     for (let i = 0; i < 10; i += 1) {
       cluster.input(id, { type: 'propose', id: `${i}`, command: i });
     }
     cluster.packets = cluster.packets.filter(({ to }) => to !== 'd');
-    cluster.settle(() => cluster.state(id).commit >= 11);
+    cluster.runUntil(() => cluster.state(id).commit >= 11);
     cluster.input(id, { type: 'compact', index: cluster.state(id).commit, image: 'image' });
     cluster.restart('d');
-    cluster.settle(() => cluster.state('d').commit === cluster.state(id).commit);
+    cluster.runUntil(() => cluster.state('d').commit === cluster.state(id).commit);
     assert.equal(cluster.state('d').members.learners[0], 'd');
   });
 
   it('changes one voter at a time', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    cluster.settle(() => cluster.leader !== undefined && cluster.committed.size > 0);
+    cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const { id } = cluster.leader as ConsensusState;
     const others = ['a', 'b', 'c'].filter((one) => one !== id);
     const change = (voters: readonly string[]): string =>
--- a/src/coordination/__tests__/unit/ConsensusVoters.test.ts
+++ b/src/coordination/__tests__/unit/ConsensusVoters.test.ts
@@ -8,14 +8,14 @@
 const FIVE_MEMBERS = { voters: ['a.1', 'b.1', 'c.1', 'd.1', 'e.1'], learners: [] };
 
 /** How often a leader looks after its voters, ms. */
-const TEND_MS = 100;
+const VOTER_CHECK_INTERVAL_MS = 100;
 
 /** A leader's view, with as many losses borne as the hosts that founded the cluster allow. */
 function viewOf(cluster: ConsensusCluster, leader: string): VoterView {
   return {
     now: cluster.now,
     heardAt: (id) => cluster.heardAt(leader, id),
-    lossesBorne: Math.floor((cluster.founders - 1) / 2),
+    lossesBorne: Math.floor((cluster.initialVoterCount - 1) / 2),
   };
 }
 
@@ -23,8 +23,8 @@
 function run(cluster: ConsensusCluster, ms: number): void {
   const until = cluster.now + ms;
   while (cluster.now < until) {
-    const next = cluster.now + TEND_MS;
-    cluster.settle(() => cluster.now >= next);
+    const next = cluster.now + VOTER_CHECK_INTERVAL_MS;
+    cluster.runUntil(() => cluster.now >= next);
     const { leader } = cluster;
     if (leader !== undefined) {
       const { voters, learners } = leader.members;
@@ -40,14 +40,14 @@
   }
 }
 
-function accept(cluster: ConsensusCluster, command: string): void {
-  cluster.settle(() => cluster.leader !== undefined);
+function commitCommand(cluster: ConsensusCluster, command: string): void {
+  cluster.runUntil(() => cluster.leader !== undefined);
   cluster.input(cluster.leader?.id ?? '', { type: 'propose', id: command, command });
-  cluster.settle(() => [...cluster.committed.values()].some((text) => text.includes(command)));
+  cluster.runUntil(() => [...cluster.committed.values()].some((text) => text.includes(command)));
 }
 
 /** All hosts lose power at once, and one of them its disk. */
-function wipeOneAndStopAll(cluster: ConsensusCluster, lost: string, successor: string): void {
+function loseDiskInPowerLoss(cluster: ConsensusCluster, lost: string, successor: string): void {
   cluster.dropAll();
   cluster.remove(lost);
   cluster.ids.forEach((id) => cluster.restart(id));
@@ -57,35 +57,35 @@
 /** All lose power, the leader its disk; what is left must accept again. */
 function recoverWithoutLeader(cluster: ConsensusCluster, command: string): void {
   const lost = cluster.leader?.id ?? '';
-  wipeOneAndStopAll(cluster, lost, `${lost.slice(0, 1)}.2`);
+  loseDiskInPowerLoss(cluster, lost, `${lost.slice(0, 1)}.2`);
   run(cluster, 4_000);
-  accept(cluster, command);
+  commitCommand(cluster, command);
 }
 
 type Loss = 'behind' | 'replaced' | 'wiped' | 'dark';
 
 /** All orders of some items. */
-function ordersOf<T>(items: readonly T[]): readonly (readonly T[])[] {
+function permutationsOf<T>(items: readonly T[]): readonly (readonly T[])[] {
   return items.length === 0
     ? [[]]
     : items.flatMap((item) =>
-        ordersOf(items.filter((other) => other !== item)).map((rest) => [item, ...rest]),
+        permutationsOf(items.filter((other) => other !== item)).map((rest) => [item, ...rest]),
       );
 }
 
 /** Four losses, five seconds apart; a host that is cut off stays so until five seconds into the next loss. */
-function playLosses(losses: readonly Loss[], hitsLeader: readonly boolean[]): void {
+function runLosses(losses: readonly Loss[], hitsLeader: readonly boolean[]): void {
   const cluster = new ConsensusCluster(MEMBERS);
   let isCut = false;
   losses.forEach((loss, n) => {
     if (!isCut) {
-      accept(cluster, `command ${n}`);
+      commitCommand(cluster, `command ${n}`);
     }
     const leader = cluster.leader?.id;
     const id = cluster.ids.find((other) => (other === leader) === hitsLeader[n]) ?? '';
     const fresh = `${id.split('.')[0] ?? ''}.${n + 2}`;
     const handlers: Readonly<Record<Loss, () => void>> = {
-      behind: () => cluster.cut(id),
+      behind: () => cluster.isolate(id),
       replaced: () => {
         cluster.remove(id);
         cluster.add(`new${n}.1`);
@@ -94,7 +94,7 @@
         cluster.remove(id);
         cluster.add(fresh);
       },
-      dark: () => wipeOneAndStopAll(cluster, id, fresh),
+      dark: () => loseDiskInPowerLoss(cluster, id, fresh),
     };
     handlers[loss]();
     run(cluster, 5_000);
@@ -106,7 +106,7 @@
   });
   cluster.heal();
   run(cluster, 5_000);
-  accept(cluster, 'last');
+  commitCommand(cluster, 'last');
   const all = [...cluster.committed.values()].join();
   const lost = losses.flatMap((_loss, n) => (all.includes(`command ${n}`) ? [] : [n]));
   assert.ok(lost.every((n) => losses[n - 1] === 'behind'));
@@ -126,10 +126,10 @@
 }
 
 /** Losses with time between them for the next to be borne; nothing accepted may be lost. */
-function playSpaced(losses: readonly SpacedLoss[]): void {
+function runSpacedLosses(losses: readonly SpacedLoss[]): void {
   const cluster = new ConsensusCluster(MEMBERS);
   losses.forEach(({ kind, at, afterMs, killed }, n) => {
-    accept(cluster, `command ${n}`);
+    commitCommand(cluster, `command ${n}`);
     const id = cluster.ids[at % cluster.ids.length] ?? '';
     const fresh = `${id.split('.')[0] ?? ''}.${n + 2}`;
     const handlers: Readonly<Record<string, () => void>> = {
@@ -142,7 +142,7 @@
         cluster.add(fresh);
       },
       restarted: () => cluster.restart(id),
-      wipedInTheDark: () => wipeOneAndStopAll(cluster, id, fresh),
+      wipedInTheDark: () => loseDiskInPowerLoss(cluster, id, fresh),
     };
     handlers[kind]?.();
     if (killed !== null) {
@@ -151,7 +151,7 @@
     }
     run(cluster, afterMs - (killed?.afterMs ?? 0));
   });
-  accept(cluster, 'last');
+  commitCommand(cluster, 'last');
   losses.forEach((_loss, n) =>
     assert.ok([...cluster.committed.values()].some((text) => text.includes(`command ${n}`))),
   );
@@ -161,10 +161,10 @@
   // One host is behind, one is replaced, one loses its disk, and all lose power with one more disk: a day on
   // which nothing was accepted any more had them in one order. In all orders, at the leader or another, what
   // was accepted stays, and more is accepted.
-  ordersOf<Loss>(['behind', 'replaced', 'wiped', 'dark']).forEach((losses) => {
+  permutationsOf<Loss>(['behind', 'replaced', 'wiped', 'dark']).forEach((losses) => {
     it(`accepts again after ${losses.join(', ')}`, () => {
       for (let hits = 0; hits < 16; hits += 1) {
-        playLosses(
+        runLosses(
           losses,
           losses.map((_loss, n) => Math.floor(hits / 2 ** n) % 2 === 1),
         );
@@ -177,12 +177,12 @@
   // another loses its disk as all lose power. Two of four voters are left, and no leader is elected.
   it('accepts again after a host was replaced and another has lost its disk', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     const gone = cluster.leader?.id ?? '';
     cluster.remove(gone);
     cluster.add('d.1');
     run(cluster, 7_000);
-    accept(cluster, 'second');
+    commitCommand(cluster, 'second');
     recoverWithoutLeader(cluster, 'third');
     assert.equal(cluster.leader?.members.voters.length, 3);
   });
@@ -195,15 +195,15 @@
   // between the successor's promotion and the first silence of 3 s that one leader saw.
   it('accepts again though leaders changed between the replacement and the next lost disk', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     cluster.remove(cluster.leader?.id ?? '');
     run(cluster, 1_000);
     cluster.add('d.1');
     run(cluster, 1_000);
-    accept(cluster, 'second');
+    commitCommand(cluster, 'second');
     cluster.restart(cluster.leader?.id ?? '');
     run(cluster, 3_000);
-    accept(cluster, 'third');
+    commitCommand(cluster, 'third');
     recoverWithoutLeader(cluster, 'fourth');
     assert.equal(cluster.leader?.members.voters.length, 3);
   });
@@ -213,19 +213,19 @@
   // two are gone for good. Two more disks are lost in the dark, and three of seven elect no leader.
   it('accepts again after two of five hosts were replaced and two have lost their disks', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     const gone = cluster.ids.filter((id) => id !== cluster.leader?.id).slice(0, 2);
     gone.forEach((id) => cluster.remove(id));
     cluster.add('f.1');
     cluster.add('g.1');
     run(cluster, 7_000);
-    accept(cluster, 'second');
+    commitCommand(cluster, 'second');
     const [lost = '', other = ''] = cluster.ids;
     cluster.remove(other);
-    wipeOneAndStopAll(cluster, lost, `${lost.slice(0, 1)}.2`);
+    loseDiskInPowerLoss(cluster, lost, `${lost.slice(0, 1)}.2`);
     cluster.add(`${other.slice(0, 1)}.2`);
     run(cluster, 4_000);
-    accept(cluster, 'third');
+    commitCommand(cluster, 'third');
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
@@ -234,11 +234,11 @@
   // lost, two of four voters were left, and the third host with all that was accepted had no vote.
   it('keeps the vote of a host that is cut off while two others lose their disks', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     const [cutOff = '', wiped = '', next = ''] = cluster.ids.filter(
       (id) => id !== cluster.leader?.id,
     );
-    cluster.cut(cutOff);
+    cluster.isolate(cutOff);
     run(cluster, 4_000);
     cluster.remove(wiped);
     cluster.add(`${wiped.slice(0, 1)}.2`);
@@ -250,7 +250,7 @@
     run(cluster, 1_000);
     cluster.heal();
     run(cluster, 5_000);
-    accept(cluster, 'second');
+    commitCommand(cluster, 'second');
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
@@ -259,7 +259,7 @@
   // left accepted stood on two disks.
   it('keeps quorums of three of five hosts, whoever is silent when newcomers come', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     const gone = cluster.ids.filter((id) => id !== cluster.leader?.id).slice(0, 2);
     gone.forEach((id) => cluster.remove(id));
     run(cluster, 5_000);
@@ -278,7 +278,7 @@
   it('bears one loss after the other', () => {
     fc.assert(
       fc.property(fc.array(fc.record(LOSS), { minLength: 1, maxLength: 6 }), (losses) => {
-        playSpaced(losses.map((loss) => ({ ...loss, killed: null })));
+        runSpacedLosses(losses.map((loss) => ({ ...loss, killed: null })));
       }),
       { seed: 20_261_203, numRuns: 60 },
     );
@@ -290,7 +290,7 @@
     fc.assert(
       fc.property(
         fc.array(fc.record({ ...LOSS, killed }), { minLength: 1, maxLength: 6 }),
-        playSpaced,
+        runSpacedLosses,
       ),
       { seed: 20_261_203, numRuns: 60 },
     );
@@ -298,7 +298,7 @@
 
   it('keeps three voters though one is silent, and drops one of four', () => {
     const cluster = new ConsensusCluster(MEMBERS);
-    accept(cluster, 'first');
+    commitCommand(cluster, 'first');
     const [silent = ''] = cluster.ids.filter((id) => id !== cluster.leader?.id);
     cluster.remove(silent);
     run(cluster, 8_000);
--- a/src/coordination/__tests__/unit/EndpointEnds.test.ts
+++ b/src/coordination/__tests__/unit/EndpointCrashes.test.ts
@@ -2,27 +2,27 @@
 import { describe, it } from 'node:test';
 import type { MemberRecord } from '../../../protocol/index.js';
 import {
-  NO_ENDPOINT_ENDS,
-  PENDING_MS,
-  provesEnd,
-  stepEndpointEnds,
-  type EndpointEndsInput,
-  type EndpointEndsOutput,
-} from '../../EndpointEnds.js';
+  NO_ENDPOINT_CRASHES,
+  PENDING_LOSS_MS,
+  provesCrash,
+  stepEndpointCrashes,
+  type EndpointCrashesInput,
+  type EndpointCrashesOutput,
+} from '../../EndpointCrashes.js';
 
-const LIFE = 'i-1@7';
+const INCARNATION_KEY = 'i-1@7';
 
-function lost(request: string): EndpointEndsInput {
-  return { type: 'lost', life: LIFE, lost: { digest: `d-${request}`, customer: 'kano', request } };
+function lost(request: string): EndpointCrashesInput {
+  return { type: 'lost', incarnationKey: INCARNATION_KEY, lost: { digest: `d-${request}`, customer: 'kano', request } };
 }
 
 /** Plays inputs, each with its time in ms; what came out, a request by its id. */
-function play(...inputs: readonly (readonly [number, EndpointEndsInput])[]): readonly string[] {
-  let state = NO_ENDPOINT_ENDS;
+function play(...inputs: readonly (readonly [number, EndpointCrashesInput])[]): readonly string[] {
+  let state = NO_ENDPOINT_CRASHES;
   return inputs.flatMap(([now, input]) => {
-    const step = stepEndpointEnds(state, input, now);
+    const step = stepEndpointCrashes(state, input, now);
     state = step.state;
-    return step.outputs.map((output: EndpointEndsOutput) =>
+    return step.outputs.map((output: EndpointCrashesOutput) =>
       output.type === 'probe'
         ? 'probe'
         : `${output.evidence}: ${output.suspects.map(({ request }) => request).join(' ')}`,
@@ -30,10 +30,10 @@
   });
 }
 
-const REFUSED: EndpointEndsInput = { type: 'probed', life: LIFE, result: 'refused' };
-const OPEN: EndpointEndsInput = { type: 'probed', life: LIFE, result: 'open' };
-const UNKNOWN: EndpointEndsInput = { type: 'probed', life: LIFE, result: 'unknown' };
-const ENDED: EndpointEndsInput = { type: 'ended', life: LIFE };
+const REFUSED: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'refused' };
+const OPEN: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'open' };
+const UNKNOWN: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'unknown' };
+const CRASHED: EndpointCrashesInput = { type: 'ended', incarnationKey: INCARNATION_KEY };
 
 const RECORD: MemberRecord = {
   id: 'i-1',
@@ -48,7 +48,7 @@
 describe('ends of endpoints', () => {
   it('are held against all that was in progress there, once it is known', () => {
     assert.deepEqual(play([0, lost('a')], [1, lost('b')], [3, REFUSED]), ['probe', 'refused: a b']);
-    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [3_000, ENDED]), ['probe', 'reported: a']);
+    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [3_000, CRASHED]), ['probe', 'reported: a']);
   });
 
   it('are known for what is noticed later', () => {
@@ -61,7 +61,7 @@
 
   // One rank of a group ends; the others drop their work and go on. What they dropped must not count.
   it('are not seen where the endpoint still listens', () => {
-    assert.deepEqual(play([0, lost('a')], [3, OPEN], [2_000, ENDED]), ['probe']);
+    assert.deepEqual(play([0, lost('a')], [3, OPEN], [2_000, CRASHED]), ['probe']);
   });
 
   it('are looked for again where a request was lost while the probe ran', () => {
@@ -73,22 +73,22 @@
   });
 
   it('that are reported long after the loss have nothing to do with it', () => {
-    const late = PENDING_MS + 1;
-    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [late, { type: 'tick' }], [late, ENDED]), [
+    const late = PENDING_LOSS_MS + 1;
+    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [late, { type: 'tick' }], [late, CRASHED]), [
       'probe',
     ]);
   });
 
   it('are proven by a lease that ran out, a later life or another endpoint at the address', () => {
-    assert.ok(provesEnd(RECORD, { ...RECORD, status: 'gone' }));
-    assert.ok(provesEnd(RECORD, { ...RECORD, incarnation: 8, version: 0 }));
-    assert.ok(provesEnd(RECORD, { ...RECORD, id: 'i-2', incarnation: 1 }));
+    assert.ok(provesCrash(RECORD, { ...RECORD, status: 'gone' }));
+    assert.ok(provesCrash(RECORD, { ...RECORD, incarnation: 8, version: 0 }));
+    assert.ok(provesCrash(RECORD, { ...RECORD, id: 'i-2', incarnation: 1 }));
   });
 
   it('are not proven by a farewell, a change or late news of an earlier life', () => {
-    assert.ok(!provesEnd(RECORD, { ...RECORD, status: 'gone', version: 4 }));
-    assert.ok(!provesEnd(RECORD, { ...RECORD, status: 'leaving', version: 4 }));
-    assert.ok(!provesEnd(RECORD, { ...RECORD, status: 'gone', incarnation: 6 }));
-    assert.ok(!provesEnd(RECORD, { ...RECORD, id: 'i-2', address: '10.0.0.2:80' }));
+    assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'gone', version: 4 }));
+    assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'leaving', version: 4 }));
+    assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'gone', incarnation: 6 }));
+    assert.ok(!provesCrash(RECORD, { ...RECORD, id: 'i-2', address: '10.0.0.2:80' }));
   });
 });
--- a/src/coordination/__tests__/unit/Lease.test.ts
+++ b/src/coordination/__tests__/unit/Lease.test.ts
@@ -2,12 +2,12 @@
 import { describe, it } from 'node:test';
 import {
   initLease,
-  initLeaseKeeper,
-  LEASE_MARGIN_MS,
+  initLeaseRenewals,
+  LEASE_CLOCK_MARGIN_MS,
   LEASE_MS,
   mayCoordinate,
   mayGrant,
-  renewLease,
+  recordRenewal,
   stepLease,
   type LeaseInput,
   type LeaseView,
@@ -67,19 +67,19 @@
 
 describe('mayGrant', () => {
   const held = { holder: 'a', token: 4, renewals: 0 };
-  const patience = LEASE_MS + LEASE_MARGIN_MS;
+  const maxLeaseMs = LEASE_MS + LEASE_CLOCK_MARGIN_MS;
 
   // The leader dies; its successor never heard of the holder's renewals. It must wait as long as
   // the newest of them could run before a rival gets the lease.
   it('waits out a lease whose renewals a predecessor knew', () => {
-    const keeper = initLeaseKeeper(1_000);
-    assert.equal(mayGrant(keeper, 'g', held, 1_000 + patience), false);
-    assert.equal(mayGrant(keeper, 'g', held, 1_001 + patience), true);
+    const keeper = initLeaseRenewals(1_000);
+    assert.equal(mayGrant(keeper, 'g', held, 1_000 + maxLeaseMs), false);
+    assert.equal(mayGrant(keeper, 'g', held, 1_001 + maxLeaseMs), true);
   });
 
   it('waits from the last renewal, and forgets those of an older token', () => {
-    const keeper = renewLease(initLeaseKeeper(0), 'g', 4, 50_000);
-    assert.equal(mayGrant(keeper, 'g', held, 50_000 + patience), false);
+    const keeper = recordRenewal(initLeaseRenewals(0), 'g', 4, 50_000);
+    assert.equal(mayGrant(keeper, 'g', held, 50_000 + maxLeaseMs), false);
     assert.equal(mayGrant(keeper, 'g', { ...held, token: 5 }, 50_000), true);
     assert.equal(mayGrant(keeper, 'g', undefined, 0), true);
   });
--- a/src/coordination/__tests__/unit/LeaseHolder.test.ts
+++ b/src/coordination/__tests__/unit/LeaseHolder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { MemberRecord } from '../../../protocol/index.js';
-import { hasHolderEnded, holderName } from '../../index.js';
+import { hasHolderTerminated, holderName } from '../../index.js';
 
 const RECORD: MemberRecord = {
   id: 'rank-3',
@@ -20,8 +20,8 @@
   it('takes a later life, or the word of its host, for the end of a life', () => {
     const later: MemberRecord = { ...RECORD, incarnation: 21 };
     const ended: MemberRecord = { ...RECORD, status: 'gone', ended: true };
-    assert.ok(hasHolderEnded(HOLDER, () => later));
-    assert.ok(hasHolderEnded(HOLDER, () => ended));
+    assert.ok(hasHolderTerminated(HOLDER, () => later));
+    assert.ok(hasHolderTerminated(HOLDER, () => ended));
   });
 
   // Guards against: two processes coordinate one group, since the first was cut off or stood still.
@@ -29,6 +29,6 @@
     const silent: MemberRecord = { ...RECORD, status: 'gone' };
     const earlier: MemberRecord = { ...RECORD, incarnation: 19, status: 'gone', ended: true };
     const records = [RECORD, silent, earlier, undefined];
-    assert.ok(records.every((record) => !hasHolderEnded(HOLDER, () => record)));
+    assert.ok(records.every((record) => !hasHolderTerminated(HOLDER, () => record)));
   });
 });
--- a/src/coordination/__tests__/unit/Membership.test.ts
+++ b/src/coordination/__tests__/unit/Membership.test.ts
@@ -9,7 +9,7 @@
   servingMembers,
   stepMembership,
   TOMBSTONE_MS,
-  UNCONFIRMED_MS,
+  MISSING_GRACE_MS,
   type MembershipInput,
   type MembershipState,
 } from '../../index.js';
@@ -140,9 +140,9 @@
   it('keeps what a full list lacks for a grace', () => {
     const known = mergeDelta(new Map(), { full: true, records: [member('a'), member('b')] }, 0);
     const restarted = mergeDelta(known, { full: true, records: [member('a', 2)] }, 100);
-    assert.equal(servingMembers(pruneView(restarted, 100 + UNCONFIRMED_MS)).length, 2);
-    assert.equal(servingMembers(pruneView(restarted, 101 + UNCONFIRMED_MS)).length, 1);
+    assert.equal(servingMembers(pruneView(restarted, 100 + MISSING_GRACE_MS)).length, 2);
+    assert.equal(servingMembers(pruneView(restarted, 101 + MISSING_GRACE_MS)).length, 1);
     const back = mergeDelta(restarted, { full: false, records: [member('b', 2)] }, 200);
-    assert.equal(servingMembers(pruneView(back, 101 + UNCONFIRMED_MS)).length, 2);
+    assert.equal(servingMembers(pruneView(back, 101 + MISSING_GRACE_MS)).length, 2);
   });
 });
--- a/src/coordination/__tests__/unit/Quarantine.test.ts
+++ b/src/coordination/__tests__/unit/Quarantine.test.ts
@@ -4,15 +4,15 @@
 import {
   clearSuspect,
   EMPTY_QUARANTINE,
-  endsHeld,
-  forgetOld,
+  crashCount,
+  dropExpiredSuspects,
   hashQuarantine,
-  holdEnd,
-  mergeNews,
-  MOST_OF_CUSTOMER,
-  MOST_SUSPECTS,
-  SUSPECT_MS,
-  writeNews,
+  recordSuspects,
+  mergeSuspectRecords,
+  MAX_SUSPECTS_PER_CUSTOMER,
+  MAX_SUSPECTS,
+  SUSPECT_RETENTION_MS,
+  toQuarantineUpdates,
   type QuarantineState,
 } from '../../Quarantine.js';
 import { rememberAnswer, wasAnswered, type RecentAnswers } from '../../RecentAnswers.js';
@@ -24,21 +24,21 @@
 }
 
 /** Holds ends, each of a life with a request in progress. */
-function held(...ends: readonly (readonly [string, string])[]): QuarantineState {
+function withCrashes(...ends: readonly (readonly [string, string])[]): QuarantineState {
   return ends.reduce(
-    (state, [life, digest]) => holdEnd(state, life, [lost(digest)], 0).state,
+    (state, [life, digest]) => recordSuspects(state, life, [lost(digest)], 0).state,
     EMPTY_QUARANTINE,
   );
 }
 
-function endsOf(state: QuarantineState, digest: string): number {
+function crashesOf(state: QuarantineState, digest: string): number {
   const suspect = state.get(digest);
-  return suspect === undefined ? 0 : endsHeld(suspect);
+  return suspect === undefined ? 0 : crashCount(suspect);
 }
 
 /** What another process is told of a whole set. */
-function wholeOf(state: QuarantineState, now = 0) {
-  return writeNews(state, [...state.values()], now).flatMap(({ records }) => records);
+function allRecordsOf(state: QuarantineState, now = 0) {
+  return toQuarantineUpdates(state, [...state.values()], now).flatMap(({ records }) => records);
 }
 
 /** One thing that a process learns by itself, or a message that it is sent by another: its whole set. */
@@ -65,24 +65,24 @@
   events.forEach((event) => {
     const state = states[event.at] ?? EMPTY_QUARANTINE;
     if (event.kind === 'end') {
-      states[event.at] = holdEnd(state, event.life, [lost(event.digest)], 0).state;
+      states[event.at] = recordSuspects(state, event.life, [lost(event.digest)], 0).state;
     } else if (event.kind === 'clear') {
       states[event.at] = clearSuspect(state, event.digest).state;
     } else {
-      states[event.to] = mergeNews(states[event.to] ?? EMPTY_QUARANTINE, wholeOf(state), 0).state;
+      states[event.to] = mergeSuspectRecords(states[event.to] ?? EMPTY_QUARANTINE, allRecordsOf(state), 0).state;
     }
   });
   return states;
 }
 
 /** Has processes tell each other their whole sets, in an order. */
-function tellAll(
+function exchangeAll(
   states: readonly QuarantineState[],
   order: readonly number[],
 ): readonly QuarantineState[] {
   return states.map((state) =>
     order.reduce(
-      (known, from) => mergeNews(known, wholeOf(states[from] ?? EMPTY_QUARANTINE), 0).state,
+      (known, from) => mergeSuspectRecords(known, allRecordsOf(states[from] ?? EMPTY_QUARANTINE), 0).state,
       state,
     ),
   );
@@ -90,46 +90,46 @@
 
 describe('requests that ends of endpoints are held against', () => {
   it('count each life once, whoever reports it and however often', () => {
-    const state = held(['i-1', 'a'], ['i-1', 'a'], ['i-2', 'a'], ['i-1', 'a'], ['i-3', 'b']);
-    assert.equal(endsOf(state, 'a'), 2);
-    assert.equal(endsOf(state, 'b'), 1);
-    assert.equal(mergeNews(state, wholeOf(state), 0).changed.length, 0);
+    const state = withCrashes(['i-1', 'a'], ['i-1', 'a'], ['i-2', 'a'], ['i-1', 'a'], ['i-3', 'b']);
+    assert.equal(crashesOf(state, 'a'), 2);
+    assert.equal(crashesOf(state, 'b'), 1);
+    assert.equal(mergeSuspectRecords(state, allRecordsOf(state), 0).changed.length, 0);
   });
 
   it('are let go by a whole answer, and not suspected anew by late reports', () => {
-    const cleared = clearSuspect(held(['i-1', 'a'], ['i-2', 'a']), 'a').state;
-    assert.equal(endsOf(cleared, 'a'), 0);
-    const late = holdEnd(cleared, 'i-2', [lost('a')], 9).state;
-    assert.equal(endsOf(late, 'a'), 0);
-    assert.equal(endsOf(holdEnd(late, 'i-3', [lost('a')], 9).state, 'a'), 1);
+    const cleared = clearSuspect(withCrashes(['i-1', 'a'], ['i-2', 'a']), 'a').state;
+    assert.equal(crashesOf(cleared, 'a'), 0);
+    const late = recordSuspects(cleared, 'i-2', [lost('a')], 9).state;
+    assert.equal(crashesOf(late, 'a'), 0);
+    assert.equal(crashesOf(recordSuspects(late, 'i-3', [lost('a')], 9).state, 'a'), 1);
   });
 
   it('are forgotten after their time, which no news makes longer', () => {
-    const state = held(['i-1', 'a']);
-    const told = mergeNews(EMPTY_QUARANTINE, wholeOf(state, SUSPECT_MS - 10), 0).state;
-    assert.equal(forgetOld(told, 9).size, 1);
-    assert.equal(forgetOld(told, 10).size, 0);
-    assert.equal(mergeNews(EMPTY_QUARANTINE, wholeOf(state, SUSPECT_MS), 0).state.size, 0);
-    const again = mergeNews(state, wholeOf(told, 0), 0).state;
-    assert.equal(forgetOld(again, 10).size, 0);
+    const state = withCrashes(['i-1', 'a']);
+    const received = mergeSuspectRecords(EMPTY_QUARANTINE, allRecordsOf(state, SUSPECT_RETENTION_MS - 10), 0).state;
+    assert.equal(dropExpiredSuspects(received, 9).size, 1);
+    assert.equal(dropExpiredSuspects(received, 10).size, 0);
+    assert.equal(mergeSuspectRecords(EMPTY_QUARANTINE, allRecordsOf(state, SUSPECT_RETENTION_MS), 0).state.size, 0);
+    const again = mergeSuspectRecords(state, allRecordsOf(received, 0), 0).state;
+    assert.equal(dropExpiredSuspects(again, 10).size, 0);
   });
 
   // A customer sends a thousand different requests that end endpoints. What others are suspected of, and what is
   // about to be held, must not be pushed out.
   it('of one customer push out none of another', () => {
     const many = Array.from({ length: 1_000 }, (_item, i) => lost(`m${i}`, 'loud'));
-    const first = held(['i-1', 'quiet'], ['i-2', 'quiet']);
-    const { state } = holdEnd(first, 'i-3', many, 0);
-    assert.equal(state.size, MOST_OF_CUSTOMER + 1);
-    assert.equal(endsOf(state, 'quiet'), 2);
+    const first = withCrashes(['i-1', 'quiet'], ['i-2', 'quiet']);
+    const { state } = recordSuspects(first, 'i-3', many, 0);
+    assert.equal(state.size, MAX_SUSPECTS_PER_CUSTOMER + 1);
+    assert.equal(crashesOf(state, 'quiet'), 2);
     const customers = Array.from({ length: 1_000 }, (_item, i) => lost(`n${i}`, `c${i % 50}`));
-    assert.equal(holdEnd(state, 'i-4', customers, 0).state.size, MOST_SUSPECTS);
+    assert.equal(recordSuspects(state, 'i-4', customers, 0).state.size, MAX_SUSPECTS);
   });
 
   it('are told in messages of a bounded size', () => {
     const many = Array.from({ length: 200 }, (_item, i) => lost(`m${i}`, `c${i}`));
-    const { state } = holdEnd(EMPTY_QUARANTINE, 'i-1', many, 0);
-    const messages = writeNews(state, [...state.values()], 0);
+    const { state } = recordSuspects(EMPTY_QUARANTINE, 'i-1', many, 0);
+    const messages = toQuarantineUpdates(state, [...state.values()], 0);
     assert.deepEqual(
       messages.map(({ records }) => records.length),
       [64, 64, 64, 8],
@@ -143,8 +143,8 @@
       fc.property(fc.array(eventArb, { maxLength: 30 }), order, order, (events, one, other) => {
         const states = playEvents(events);
         const everyone = [0, 1, 2];
-        const a = tellAll(states, [...one, ...everyone]).map(hashQuarantine);
-        const b = tellAll(states, [...everyone].reverse().concat(other)).map(hashQuarantine);
+        const a = exchangeAll(states, [...one, ...everyone]).map(hashQuarantine);
+        const b = exchangeAll(states, [...everyone].reverse().concat(other)).map(hashQuarantine);
         assert.equal(new Set([...a, ...b]).size, 1);
       }),
       { seed: SEED, numRuns: 2_000 },
@@ -156,8 +156,8 @@
       fc.property(fc.array(eventArb, { maxLength: 30 }), (events) => {
         const seen = events.flatMap((e) => (e.kind === 'end' ? [`${e.digest} ${e.life}`] : []));
         const isCleared = events.some(({ kind }) => kind === 'clear');
-        const [state = EMPTY_QUARANTINE] = tellAll(playEvents(events), [0, 1, 2]);
-        const total = ['a', 'b', 'c'].reduce((sum, name) => sum + endsOf(state, name), 0);
+        const [state = EMPTY_QUARANTINE] = exchangeAll(playEvents(events), [0, 1, 2]);
+        const total = ['a', 'b', 'c'].reduce((sum, name) => sum + crashesOf(state, name), 0);
         assert.ok(isCleared ? total <= new Set(seen).size : total === new Set(seen).size);
       }),
       { seed: SEED, numRuns: 2_000 },
--- a/src/coordination/__tests__/unit/Rollout.test.ts
+++ b/src/coordination/__tests__/unit/Rollout.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import type { ConfigDelta, MemberRecord } from '../../../protocol/index.js';
 import {
-  CHECK_MS,
+  CONFIRM_TIMEOUT_MS,
   initRollout,
   stepRollout,
   type RolloutInput,
@@ -76,8 +76,8 @@
   // they hold, and then serves what it has, so that the AZ goes on.
   it('serves what it holds once it has waited in a cut-off AZ', () => {
     const { state } = run([config(7), subscribe(member('e1'))]);
-    assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CHECK_MS - 1).outputs), []);
-    assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CHECK_MS).outputs), [
+    assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS - 1).outputs), []);
+    assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS).outputs), [
       'phase cutOff',
       'e1 0>7',
     ]);
--- a/src/coordination/__tests__/utils/ConsensusCluster.ts
+++ b/src/coordination/__tests__/utils/ConsensusCluster.ts
@@ -36,18 +36,18 @@
   readonly #states = new Map<string, ConsensusState>();
 
   /** Replicas that reach no other. */
-  readonly #cut = new Set<string>();
+  readonly #isolated = new Set<string>();
 
   /** When each replica's process began, and when it ended for good. */
   readonly #startedAt = new Map<string, number>();
 
-  readonly #endedAt = new Map<string, number>();
+  readonly #removedAt = new Map<string, number>();
 
   /** How many voters there were at the start. */
-  readonly founders: number;
+  readonly initialVoterCount: number;
 
   constructor(members: ConsensusMembers) {
-    this.founders = members.voters.length;
+    this.initialVoterCount = members.voters.length;
     [...members.voters, ...members.learners].forEach((id) => this.add(id, members));
   }
 
@@ -65,7 +65,7 @@
 
   /** Ends a replica for good, disk included. */
   remove(id: string): void {
-    this.#endedAt.set(id, this.now);
+    this.#removedAt.set(id, this.now);
     this.#states.delete(id);
     this.#disks.delete(id);
   }
@@ -75,28 +75,28 @@
   }
 
   get leader(): ConsensusState | undefined {
-    const reached = this.ids.filter((id) => !this.#cut.has(id));
-    return reached.map((id) => this.state(id)).find(({ role }) => role === 'leader');
+    const reachable = this.ids.filter((id) => !this.#isolated.has(id));
+    return reachable.map((id) => this.state(id)).find(({ role }) => role === 'leader');
   }
 
   /** Cuts a replica off from all others, silently. */
-  cut(id: string): void {
-    this.#cut.add(id);
+  isolate(id: string): void {
+    this.#isolated.add(id);
   }
 
-  isCut(id: string): boolean {
-    return this.#cut.has(id);
+  isIsolated(id: string): boolean {
+    return this.#isolated.has(id);
   }
 
   /** Ends a replica's cut, and starts it from its disk. */
-  boot(id: string): void {
-    this.#cut.delete(id);
+  reconnectAndRestart(id: string): void {
+    this.#isolated.delete(id);
     this.restart(id);
   }
 
   /** Ends all cuts. */
   heal(): void {
-    this.#cut.clear();
+    this.#isolated.clear();
   }
 
   /** Starts a replica from its disk: all else it knew is gone. */
@@ -108,8 +108,8 @@
 
   /** When one replica's process last heard another over the link between them; it forgets with its end. */
   heardAt(by: string, id: string): number {
-    const reached = this.#states.has(id) && !this.#cut.has(id) && !this.#cut.has(by);
-    const heard = reached ? this.now : (this.#endedAt.get(id) ?? 0);
+    const isReachable = this.#states.has(id) && !this.#isolated.has(id) && !this.#isolated.has(by);
+    const heard = isReachable ? this.now : (this.#removedAt.get(id) ?? 0);
     return Math.max(heard, this.#startedAt.get(by) ?? 0);
   }
 
@@ -146,12 +146,12 @@
   }
 
   /** Runs on without faults until a condition holds. */
-  settle(done: () => boolean): void {
+  runUntil(done: () => boolean): void {
     for (let i = 0; i < 4_000 && !done(); i += 1) {
       this.now += 10;
       this.ids.forEach((id) => this.input(id, { type: 'tick' }));
       const packets = this.packets.filter(
-        ({ from, to }) => this.#states.has(to) && !this.#cut.has(from) && !this.#cut.has(to),
+        ({ from, to }) => this.#states.has(to) && !this.#isolated.has(from) && !this.#isolated.has(to),
       );
       this.packets = [];
       packets.forEach(({ from, to, message }) =>
--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -20,9 +20,9 @@
 } from './Attempts.js';
 export { initConsensus, stepConsensus, type ConsensusRecovery } from './Consensus.js';
 export { ELECTION_TIMEOUT_MS, HEARTBEAT_MS } from './ConsensusConstants.js';
-export { isOutOfTouch } from './ConsensusElection.js';
+export { hasLostQuorum } from './ConsensusElection.js';
 export { lastIndex, membersOf } from './ConsensusLog.js';
-export { holdersOf } from './ConsensusReplication.js';
+export { votersWithEntry } from './ConsensusReplication.js';
 export type {
   ConsensusContext,
   ConsensusEntry,
@@ -43,35 +43,35 @@
 export {
   clearSuspect,
   EMPTY_QUARANTINE,
-  endsHeld,
-  forgetOld,
+  crashCount,
+  dropExpiredSuspects,
   hashQuarantine,
-  holdEnd,
-  mergeNews,
-  MOST_ENDS,
-  MOST_SUSPECTS,
-  SUSPECT_MS,
-  writeNews,
+  recordSuspects,
+  mergeSuspectRecords,
+  QUARANTINE_CRASHES,
+  MAX_SUSPECTS,
+  SUSPECT_RETENTION_MS,
+  toQuarantineUpdates,
   type QuarantineState,
   type QuarantineStep,
   type Suspect,
 } from './Quarantine.js';
 export { rememberAnswer, wasAnswered, type RecentAnswers } from './RecentAnswers.js';
 export {
-  idOf,
-  lifeOf,
-  NO_ENDPOINT_ENDS,
-  provesEnd,
-  stepEndpointEnds,
-  type EndEvidence,
-  type EndpointEndsInput,
-  type EndpointEndsOutput,
-  type EndpointEndsState,
-  type EndpointEndsStep,
-  type EndpointLife,
+  endpointIdOf,
+  incarnationKeyOf,
+  NO_ENDPOINT_CRASHES,
+  provesCrash,
+  stepEndpointCrashes,
+  type CrashEvidence,
+  type EndpointCrashesInput,
+  type EndpointCrashesOutput,
+  type EndpointCrashesState,
+  type EndpointCrashesStep,
+  type IncarnationKey,
   type LostRequest,
-} from './EndpointEnds.js';
-export { engineAnswered, engineEnded, FIRST_LIFE, type EngineLives } from './EngineLives.js';
+} from './EndpointCrashes.js';
+export { engineAnswered, engineCrashed, FIRST_INCARNATION, type EngineIncarnation } from './EngineIncarnations.js';
 export {
   initGate,
   REMEMBER_MS,
@@ -82,10 +82,10 @@
 } from './Gate.js';
 export {
   initLease,
-  LEASE_MARGIN_MS,
+  LEASE_CLOCK_MARGIN_MS,
   LEASE_MS,
   mayCoordinate,
-  RENEW_MS,
+  RENEW_INTERVAL_MS,
   stepLease,
   type LeaseInput,
   type LeaseOutput,
@@ -93,11 +93,11 @@
 } from './Lease.js';
 export {
   countRenewals,
-  initLeaseKeeper,
+  initLeaseRenewals,
   mayGrant,
-  renewLease,
-  type LeaseKeeperState,
-} from './LeaseKeeper.js';
+  recordRenewal,
+  type LeaseRenewalsState,
+} from './LeaseRenewals.js';
 export {
   ARM_AHEAD_STEPS,
   CHANGE_LIMIT_MS,
@@ -124,7 +124,7 @@
   mergeDelta,
   pruneView,
   servingMembers,
-  UNCONFIRMED_MS,
+  MISSING_GRACE_MS,
   type MembershipView,
 } from './MembershipView.js';
 export {
@@ -153,8 +153,8 @@
 } from './Placement.js';
 export { initEstimate, updateEstimate, type PlacementEstimate } from './PlacementEstimate.js';
 export {
-  CHECK_MS,
-  concerns,
+  CONFIRM_TIMEOUT_MS,
+  isRelevantTo,
   initRollout,
   stepRollout,
   type RolloutInput,
@@ -222,15 +222,15 @@
   type DirectVerdict,
 } from './DirectAttempts.js';
 export {
-  FRESHNESS_SHARE,
-  holdConfig,
+  FRESHNESS_LEASE_FRACTION,
+  receiveConfig,
   isFresh,
   isProven,
-  proveFresh,
+  receiveNewestIndex,
   UNPROVEN,
   type ClockReading,
   type FreshnessState,
-} from './Freshness.js';
+} from './ConfigFreshness.js';
 export {
   countFirst,
   EMPTY_RETRY_BUDGET,
@@ -305,6 +305,6 @@
 export { MapStages, type MapStageTimes } from './MapStages.js';
 export { applyMapDiff, diffMap, type MapRow } from './MapDiff.js';
 export { awaitsReport } from './MapSwitchOrders.js';
-export { hasHolderEnded, holderName, type LeaseHolder } from './LeaseHolder.js';
+export { hasHolderTerminated, holderName, type LeaseHolder } from './LeaseHolder.js';
 export { STARTUP_MS, startupWait } from './StartupWait.js';
 export { endSettling, isSettlingDue, openSettling, SETTLED, type Settling } from './Settling.js';
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -2,15 +2,15 @@
 import type { Logger } from 'pino';
 import {
   countRenewals,
-  hasHolderEnded,
-  holdersOf,
-  initLeaseKeeper,
-  isOutOfTouch,
+  hasHolderTerminated,
+  votersWithEntry,
+  initLeaseRenewals,
+  hasLostQuorum,
   mayGrant,
   nextVoterChange,
-  renewLease,
+  recordRenewal,
   replicaName,
-  type LeaseKeeperState,
+  type LeaseRenewalsState,
   type VoterView,
 } from '../coordination/index.js';
 import type {
@@ -79,7 +79,7 @@
 
   readonly #now: () => number;
 
-  #keeper: LeaseKeeperState = initLeaseKeeper(0);
+  #keeper: LeaseRenewalsState = initLeaseRenewals(0);
 
   #keptInTerm = 0;
 
@@ -163,7 +163,7 @@
   #proofOf(reply: SubmitReply): object {
     const { state } = this.#consensus;
     return reply.result === 'accepted'
-      ? { holders: holdersOf(state, reply.index), voters: state.members.voters }
+      ? { holders: votersWithEntry(state, reply.index), voters: state.members.voters }
       : {};
   }
 
@@ -172,15 +172,15 @@
     const { group, holder } = ask;
     const held = this.#consensus.control.leases[group];
     // A leader that was frozen may have been replaced without knowing: it vouches for nothing.
-    if (isOutOfTouch(this.#consensus.state, this.#now())) {
+    if (hasLostQuorum(this.#consensus.state, this.#now())) {
       return { result: 'failed' };
     }
     const keeper = this.#keepLeases();
     if (held?.holder === holder && held.token === ask.after.token) {
-      this.#keeper = renewLease(keeper, group, held.token, this.#now());
+      this.#keeper = recordRenewal(keeper, group, held.token, this.#now());
       return this.#granted(ask, held.token);
     }
-    const isFree = held === undefined || hasHolderEnded(held.holder, this.#options.recordOf);
+    const isFree = held === undefined || hasHolderTerminated(held.holder, this.#options.recordOf);
     if (!isFree && (ask.observe || !mayGrant(keeper, group, held, this.#now()))) {
       const renewals = countRenewals(keeper, group, held.token);
       return { result: 'held', lease: { ...held, renewals } };
@@ -189,11 +189,11 @@
   }
 
   /** What is remembered of renewals, from the own election on. */
-  #keepLeases(): LeaseKeeperState {
+  #keepLeases(): LeaseRenewalsState {
     const { term } = this.#consensus.state;
     if (term !== this.#keptInTerm) {
       this.#keptInTerm = term;
-      this.#keeper = initLeaseKeeper(this.#now());
+      this.#keeper = initLeaseRenewals(this.#now());
     }
     return this.#keeper;
   }
@@ -214,7 +214,7 @@
     });
     if (result?.result === 'granted') {
       const { token } = result.lease;
-      this.#keeper = renewLease(this.#keepLeases(), group, token, this.#now());
+      this.#keeper = recordRenewal(this.#keepLeases(), group, token, this.#now());
       this.#log.info({ event: 'lease', group, holder, token }, 'lease granted');
       return this.#granted(ask, token);
     }
--- a/src/daemon/DaemonEndpointEnds.ts
+++ b/src/daemon/DaemonEndpointEnds.ts
@@ -1,13 +1,13 @@
 /** Task of an entry process that finds out which requests were in progress at an endpoint when it ended. */
 import type { Counter } from 'prom-client';
 import {
-  lifeOf,
-  NO_ENDPOINT_ENDS,
-  provesEnd,
-  stepEndpointEnds,
-  type EndpointEndsInput,
-  type EndpointEndsState,
-  type EndpointLife,
+  incarnationKeyOf,
+  NO_ENDPOINT_CRASHES,
+  provesCrash,
+  stepEndpointCrashes,
+  type EndpointCrashesInput,
+  type EndpointCrashesState,
+  type IncarnationKey,
   type LostRequest,
 } from '../coordination/index.js';
 import type { MemberRecord } from '../protocol/index.js';
@@ -20,19 +20,19 @@
   readonly probe: (address: Address) => Probe;
   readonly ends: Pick<Counter, 'inc'>;
   /** Takes the requests that were in progress at a life that has ended. */
-  readonly onSuspects: (life: EndpointLife, suspects: readonly LostRequest[]) => void;
+  readonly onSuspects: (incarnationKey: IncarnationKey, suspects: readonly LostRequest[]) => void;
 }
 
 /** The task. */
 export class DaemonEndpointEnds {
   readonly #options: EndpointEndsOptions;
 
-  #state: EndpointEndsState = NO_ENDPOINT_ENDS;
+  #state: EndpointCrashesState = NO_ENDPOINT_CRASHES;
 
   /** Endpoints at which requests were lost, by life, while nobody knows whether it has ended. */
-  readonly #records = new Map<EndpointLife, MemberRecord>();
+  readonly #records = new Map<IncarnationKey, MemberRecord>();
 
-  readonly #probes = new Map<EndpointLife, Promise<void>>();
+  readonly #probes = new Map<IncarnationKey, Promise<void>>();
 
   constructor(options: EndpointEndsOptions) {
     this.#options = options;
@@ -43,26 +43,26 @@
    * probe has told what it can, so that whoever sends the request again knows what it did.
    */
   async onLost(endpoint: MemberRecord, lost: LostRequest): Promise<void> {
-    const life = lifeOf(endpoint);
-    this.#records.set(life, endpoint);
-    this.#input({ type: 'lost', life, lost });
-    await this.#probes.get(life);
+    const incarnationKey = incarnationKeyOf(endpoint);
+    this.#records.set(incarnationKey, endpoint);
+    this.#input({ type: 'lost', incarnationKey, lost });
+    await this.#probes.get(incarnationKey);
   }
 
   /** Takes a request and the life of an endpoint that is known to have ended under it. */
-  onEnded(life: EndpointLife, lost: LostRequest): void {
-    this.#input({ type: 'ended', life });
-    this.#input({ type: 'lost', life, lost });
+  onEnded(incarnationKey: IncarnationKey, lost: LostRequest): void {
+    this.#input({ type: 'ended', incarnationKey });
+    this.#input({ type: 'lost', incarnationKey, lost });
   }
 
   /** Takes news of members; `isNew` tells whether an id was unknown before them. */
   onMembers(records: readonly MemberRecord[], isNew: (id: string) => boolean): void {
-    [...this.#records].forEach(([life, known]) => {
+    [...this.#records].forEach(([incarnationKey, known]) => {
       const proof = records.find(
-        (news) => (news.id === known.id || isNew(news.id)) && provesEnd(known, news),
+        (news) => (news.id === known.id || isNew(news.id)) && provesCrash(known, news),
       );
       if (proof !== undefined) {
-        this.#input({ type: 'ended', life });
+        this.#input({ type: 'ended', incarnationKey });
       }
     });
   }
@@ -71,50 +71,50 @@
     this.#input({ type: 'tick' });
   }
 
-  #input(input: EndpointEndsInput): void {
-    const { state, outputs } = stepEndpointEnds(this.#state, input, this.#options.runtime.now());
-    if (state.ended.size > this.#state.ended.size) {
+  #input(input: EndpointCrashesInput): void {
+    const { state, outputs } = stepEndpointCrashes(this.#state, input, this.#options.runtime.now());
+    if (state.crashed.size > this.#state.crashed.size) {
       this.#options.ends.inc();
     }
     this.#state = state;
     outputs.forEach((output) => {
       if (output.type === 'probe') {
-        this.#probe(output.life);
+        this.#probe(output.incarnationKey);
         return;
       }
-      const { life, evidence, suspects } = output;
+      const { incarnationKey, evidence, suspects } = output;
       this.#options.runtime.log.warn(
         {
           event: 'endpoint_ended',
-          life,
+          life: incarnationKey,
           evidence,
           suspects: suspects.map(({ request, digest }) => `${request}=${digest}`),
         },
         'an endpoint ended with requests in progress',
       );
-      this.#options.onSuspects(life, suspects);
+      this.#options.onSuspects(incarnationKey, suspects);
     });
     [...this.#records.keys()]
-      .filter((life) => !state.pending.has(life))
-      .forEach((life) => this.#records.delete(life));
+      .filter((incarnationKey) => !state.pending.has(incarnationKey))
+      .forEach((incarnationKey) => this.#records.delete(incarnationKey));
   }
 
-  #probe(life: EndpointLife): void {
-    const address = parseAddress(this.#records.get(life)?.address ?? '');
+  #probe(incarnationKey: IncarnationKey): void {
+    const address = parseAddress(this.#records.get(incarnationKey)?.address ?? '');
     if (address === undefined) {
-      this.#input({ type: 'probed', life, result: 'unknown' });
+      this.#input({ type: 'probed', incarnationKey, result: 'unknown' });
       return;
     }
     const { result, settled } = this.#options.probe(address);
-    this.#probes.set(life, settled);
+    this.#probes.set(incarnationKey, settled);
     result
       .then((found) => {
         this.#options.runtime.log.info(
-          { event: 'endpoint_probe', life, result: found },
+          { event: 'endpoint_probe', life: incarnationKey, result: found },
           'endpoint probed after a connection to it ended',
         );
-        this.#probes.delete(life);
-        this.#input({ type: 'probed', life, result: found });
+        this.#probes.delete(incarnationKey);
+        this.#input({ type: 'probed', incarnationKey, result: found });
       })
       .catch((err: unknown) => this.#options.runtime.log.error({ err }, 'probe failed'));
   }
--- a/src/daemon/DaemonEntryState.ts
+++ b/src/daemon/DaemonEntryState.ts
@@ -6,7 +6,7 @@
   initRouting,
   keepSubsets,
   mergeDelta,
-  MOST_ENDS,
+  QUARANTINE_CRASHES,
   pruneView,
   release,
   routeRequest,
@@ -93,7 +93,7 @@
 
   /** Whether a request must be sent to no endpoint like this one. */
   isHeld(identity: RequestIdentity, { offer }: MemberRecord): boolean {
-    const mostEnds = offer?.group === undefined ? MOST_ENDS.single : MOST_ENDS.group;
+    const mostEnds = offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
     return this.screening.isHeld(identity, mostEnds);
   }
 
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -4,11 +4,11 @@
 import type { Dispatcher } from 'undici';
 import {
   engineAnswered,
-  engineEnded,
-  FIRST_LIFE,
+  engineCrashed,
+  FIRST_INCARNATION,
   initGate,
   stepGate,
-  type EngineLives,
+  type EngineIncarnation,
   type GateInput,
   type GateOutput,
   type GateState,
@@ -76,7 +76,7 @@
 
   #state: GateState;
 
-  #lives: EngineLives = FIRST_LIFE;
+  #lives: EngineIncarnation = FIRST_INCARNATION;
 
   constructor(options: GateOptions) {
     this.#options = options;
@@ -219,7 +219,7 @@
     if ((await this.#options.probe().result) !== 'refused') {
       return null;
     }
-    this.#lives = engineEnded(this.#lives, begunAt, this.#options.runtime.now());
-    return this.#lives.life;
+    this.#lives = engineCrashed(this.#lives, begunAt, this.#options.runtime.now());
+    return this.#lives.ordinal;
   }
 }
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -2,14 +2,14 @@
 import {
   clearSuspect,
   EMPTY_QUARANTINE,
-  endsHeld,
-  forgetOld,
+  crashCount,
+  dropExpiredSuspects,
   hashQuarantine,
-  holdEnd,
-  mergeNews,
-  SUSPECT_MS,
-  writeNews,
-  type EndpointLife,
+  recordSuspects,
+  mergeSuspectRecords,
+  SUSPECT_RETENTION_MS,
+  toQuarantineUpdates,
+  type IncarnationKey,
   type LostRequest,
   type QuarantineState,
   type Suspect,
@@ -25,9 +25,9 @@
   empty: EMPTY_QUARANTINE,
   itemsOf: (state) => [...state.values()],
   hash: hashQuarantine,
-  merge: (state, { records }, now) => mergeNews(state, records, now),
-  forget: forgetOld,
-  write: writeNews,
+  merge: (state, { records }, now) => mergeSuspectRecords(state, records, now),
+  forget: dropExpiredSuspects,
+  write: toQuarantineUpdates,
 };
 
 /** What the task needs. */
@@ -61,7 +61,7 @@
 
   /** All suspects that ends are held against. */
   get suspects(): readonly Suspect[] {
-    return [...this.#set.state.values()].filter((suspect) => endsHeld(suspect) > 0);
+    return [...this.#set.state.values()].filter((suspect) => crashCount(suspect) > 0);
   }
 
   /** Whether a customer has suspects: without any there is nothing to compare its requests with. */
@@ -72,13 +72,13 @@
   /** Ends held against a request. */
   endsOf(digest: string): number {
     const suspect = this.#set.state.get(digest);
-    return suspect === undefined ? 0 : endsHeld(suspect);
+    return suspect === undefined ? 0 : crashCount(suspect);
   }
 
   /** Time until a request is forgotten, ms. */
   heldForMs(digest: string): number {
-    const endedAt = this.#set.state.get(digest)?.endedAt ?? -Infinity;
-    return Math.max(0, endedAt + SUSPECT_MS - this.#options.runtime.now());
+    const endedAt = this.#set.state.get(digest)?.lastCrashAt ?? -Infinity;
+    return Math.max(0, endedAt + SUSPECT_RETENTION_MS - this.#options.runtime.now());
   }
 
   /** Calls a listener after each change; the result takes it off again. */
@@ -87,8 +87,8 @@
     return () => this.#listeners.delete(listener);
   }
 
-  holdEnd(life: EndpointLife, lost: readonly LostRequest[]): void {
-    this.#set.take(holdEnd(this.#set.state, life, lost, this.#options.runtime.now()));
+  holdEnd(life: IncarnationKey, lost: readonly LostRequest[]): void {
+    this.#set.take(recordSuspects(this.#set.state, life, lost, this.#options.runtime.now()));
   }
 
   /** Releases a request; true if anything was held against it. */
@@ -115,7 +115,7 @@
 
   /** One line for what is told of several requests: all that was in progress at an endpoint is suspected. */
   #onChanged(changed: readonly Suspect[], from: string | null): void {
-    const requests = changed.map((suspect) => `${suspect.digest}=${endsHeld(suspect)}`);
+    const requests = changed.map((suspect) => `${suspect.digest}=${crashCount(suspect)}`);
     this.#options.runtime.log.info(
       { event: 'suspects', from, requests, held: this.#set.state.size },
       'ends held against requests',
--- a/src/daemon/DaemonQuarantineApi.ts
+++ b/src/daemon/DaemonQuarantineApi.ts
@@ -1,7 +1,7 @@
 /** The part of the administration API that lists requests endpoints have ended under, and releases them. */
 import type Koa from 'koa';
 import type { Context } from 'koa';
-import { endsHeld } from '../coordination/index.js';
+import { crashCount } from '../coordination/index.js';
 import type { DaemonQuarantine } from './DaemonQuarantine.js';
 
 const LIST_PATH = '/v1/quarantine';
@@ -13,7 +13,7 @@
     .map((suspect) => ({
       digest: suspect.digest,
       customer: suspect.customer,
-      ends: endsHeld(suspect),
+      ends: crashCount(suspect),
       lives: suspect.ends.filter((life) => !suspect.cleared.includes(life)),
       forgottenInS: Math.round(quarantine.heldForMs(suspect.digest) / 1_000),
     }))
--- a/src/daemon/DaemonRuntime.ts
+++ b/src/daemon/DaemonRuntime.ts
@@ -77,7 +77,7 @@
     registry,
     rng,
     now: () => performance.now(),
-    clocks: () => ({ steady: performance.now(), wall: Date.now() }),
+    clocks: () => ({ monotonic: performance.now(), wall: Date.now() }),
     random: () => uniformFloat64(rng),
     incarnation: Date.now(),
   };
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -3,7 +3,7 @@
  * to none. Asked once before each send, whatever the send is for.
  */
 import {
-  lifeOf,
+  incarnationKeyOf,
   rememberAnswer,
   wasAnswered,
   type LostRequest,
@@ -110,7 +110,7 @@
   /** A gate has seen its engine end under a request; it counts the engine's lives. */
   onEnded(endpoint: MemberRecord, life: number, identity: RequestIdentity, request: string): void {
     if (!wasAnswered(this.#answers, identity, this.#options.runtime.now())) {
-      this.#ends.onEnded(`${lifeOf(endpoint)}#${life}`, this.#lost(identity, request));
+      this.#ends.onEnded(`${incarnationKeyOf(endpoint)}#${life}`, this.#lost(identity, request));
     }
   }
 
--- a/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
+++ b/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { pino } from 'pino';
-import { SUSPECT_MS } from '../../../coordination/index.js';
+import { SUSPECT_RETENTION_MS } from '../../../coordination/index.js';
 import { DaemonQuarantine } from '../../DaemonQuarantine.js';
 
 describe('DaemonQuarantine', () => {
@@ -13,7 +13,7 @@
     const quarantine = new DaemonQuarantine({ runtime, publish: () => undefined });
     quarantine.holdEnd('i-1@1', [{ digest: 'a', customer: 'kano', request: 'r1' }]);
     assert.ok(quarantine.hasSuspectOf('kano'));
-    now = SUSPECT_MS;
+    now = SUSPECT_RETENTION_MS;
     quarantine.tick();
     assert.ok(!quarantine.hasSuspectOf('kano'));
   });
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -3,17 +3,17 @@
   countFirst,
   EMPTY_RETRY_BUDGET,
   endSettling,
-  FRESHNESS_SHARE,
-  holdConfig,
+  FRESHNESS_LEASE_FRACTION,
+  receiveConfig,
   initRouting,
   isFresh,
   isProven,
   isSettlingDue,
-  lifeOf,
+  incarnationKeyOf,
   mergeDelta,
-  MOST_ENDS,
+  QUARANTINE_CRASHES,
   openSettling,
-  proveFresh,
+  receiveNewestIndex,
   pruneView,
   routeRequest,
   serviceKey,
@@ -154,7 +154,7 @@
   }
 
   get heldIndex(): number {
-    return this.#freshness.held;
+    return this.#freshness.heldConfigIndex;
   }
 
   now(): number {
@@ -163,7 +163,7 @@
 
   /** Whether the configuration held here is proven to be the newest, as far as keys need it. */
   get isFresh(): boolean {
-    const leaseMs = this.#options.revokeMs * FRESHNESS_SHARE;
+    const leaseMs = this.#options.revokeMs * FRESHNESS_LEASE_FRACTION;
     return isFresh(this.#freshness, this.#options.runtime.clocks(), leaseMs);
   }
 
@@ -198,7 +198,7 @@
     }
     this.#models.clear();
     this.#setView(this.#view);
-    this.#setFreshness(holdConfig(this.#freshness, config.index));
+    this.#setFreshness(receiveConfig(this.#freshness, config.index));
     const version = this.#routes?.plan.version ?? null;
     this.#options.runtime.log.info({ event: 'config', index: config.index, version }, 'in force');
     this.startup.onNews();
@@ -209,8 +209,8 @@
    * is held here.
    */
   onNewest(index: number, askedAt: ClockReading): boolean {
-    this.#setFreshness(proveFresh(this.#freshness, index, askedAt));
-    return this.#freshness.held >= index;
+    this.#setFreshness(receiveNewestIndex(this.#freshness, index, askedAt));
+    return this.#freshness.heldConfigIndex >= index;
   }
 
   onDirectory(delta: DirectoryDelta): void {
@@ -291,7 +291,7 @@
 
   /** Ends of endpoints after which a request is sent to no other. */
   #mostEnds(service: string): number {
-    return this.admission.hasGroups(service) ? MOST_ENDS.group : MOST_ENDS.single;
+    return this.admission.hasGroups(service) ? QUARANTINE_CRASHES.group : QUARANTINE_CRASHES.single;
   }
 
   /** Whether a request must be sent to no endpoint. */
@@ -325,7 +325,7 @@
 
   #servingEndpoint(id: string): MemberRecord | undefined {
     const record = this.#view.get(id)?.record;
-    const serves = record?.status === 'serving' && !this.#gone.has(lifeOf(record));
+    const serves = record?.status === 'serving' && !this.#gone.has(incarnationKeyOf(record));
     return serves ? record : undefined;
   }
 
@@ -354,7 +354,7 @@
       this.admission.onGroupBroken(endpoint.id);
     }
     if (wrongInstance) {
-      this.#gone.set(lifeOf(endpoint), this.now());
+      this.#gone.set(incarnationKeyOf(endpoint), this.now());
       this.#setView(this.#view);
     }
   }
@@ -412,7 +412,7 @@
     this.#freshness = freshness;
     if (!wasProven && this.isProven) {
       const { log } = this.#options.runtime;
-      log.info({ event: 'proven', index: freshness.held }, 'configuration proven the newest');
+      log.info({ event: 'proven', index: freshness.heldConfigIndex }, 'configuration proven the newest');
       this.startup.onNews();
     }
   }
@@ -420,13 +420,13 @@
   #setView(view: MembershipView): void {
     this.#view = view;
     this.#settling = endSettling(this.now());
-    const serving = servingMembers(view).filter((record) => !this.#gone.has(lifeOf(record)));
+    const serving = servingMembers(view).filter((record) => !this.#gone.has(incarnationKeyOf(record)));
     const entries = serving.filter(({ role }) => role === 'entry').map(({ id }) => id);
     this.#entryHosts = entries.length;
     this.turns.limits.setHosts(entries);
     this.admission.setMembers(serving, this.#entryHosts);
     this.#routing = updateRouting(this.#routing, { type: 'members', records: serving }, this.now());
-    const lives = new Set([...view.values()].map(({ record }) => lifeOf(record)));
+    const lives = new Set([...view.values()].map(({ record }) => incarnationKeyOf(record)));
     this.turns.keep((life) => lives.has(life));
     this.#pools.keep((life) => lives.has(life) && !this.#gone.has(life));
     this.startup.onNews();
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -4,10 +4,10 @@
   adjustPace,
   clockOf,
   intervalOf,
-  lifeOf,
+  incarnationKeyOf,
   takeNamedLimit,
   updateHosts,
-  type EndpointLife,
+  type IncarnationKey,
   type LimitMark,
   type RecentHosts,
   type SendPace,
@@ -41,7 +41,7 @@
   #hosts: RecentHosts = new Map();
 
   /** Intervals for limits, as long as the hosts stay the same: each takes a look at all hosts. */
-  readonly #intervals = new Map<EndpointLife, { perSecond: number; intervalMs: number }>();
+  readonly #intervals = new Map<IncarnationKey, { perSecond: number; intervalMs: number }>();
 
   constructor(options: DirectLimitsOptions) {
     super(options.runtime.now);
@@ -77,7 +77,7 @@
   /** Marks a request that is sent now. */
   mark(endpoint: MemberRecord): LimitMark {
     return {
-      clock: clockOf(this.#limits.state, lifeOf(endpoint)),
+      clock: clockOf(this.#limits.state, incarnationKeyOf(endpoint)),
       at: this.#options.runtime.now(),
     };
   }
@@ -85,7 +85,7 @@
   /** Takes the limit that an answer names; `sent` marks its request. */
   onAnswer(endpoint: MemberRecord, sent: LimitMark, limit: NamedLimit, request: string): void {
     const { log, now } = this.#options.runtime;
-    const life = lifeOf(endpoint);
+    const life = incarnationKeyOf(endpoint);
     const step = takeNamedLimit(this.#limits.state, life, sent, limit, now());
     this.#limits.take(step);
     if (step.changed.length > 0 || limit === 'unreadable') {
@@ -122,7 +122,7 @@
     this.#hosts = updateHosts(this.#hosts, this.#members, this.#options.runtime.now());
   }
 
-  #intervalOf(life: EndpointLife, perSecond: number): number {
+  #intervalOf(life: IncarnationKey, perSecond: number): number {
     const known = this.#intervals.get(life);
     if (known?.perSecond === perSecond) {
       return known.intervalMs;
@@ -136,7 +136,7 @@
   /** Brings the paces in line with limits and hosts. */
   #adjust(): void {
     const now = this.#options.runtime.now();
-    const paces = new Map<EndpointLife, SendPace>();
+    const paces = new Map<IncarnationKey, SendPace>();
     this.#limits.state.forEach(({ life, perSecond }) => {
       if (perSecond !== null) {
         const intervalMs = this.#intervalOf(life, perSecond);
--- a/src/daemon/direct/DirectPaces.ts
+++ b/src/daemon/direct/DirectPaces.ts
@@ -1,9 +1,9 @@
 /** Paces at which an entry process may send to endpoints; those without one take requests at any time. */
 import {
-  lifeOf,
+  incarnationKeyOf,
   paceWait,
   takeTurn,
-  type EndpointLife,
+  type IncarnationKey,
   type SendPace,
 } from '../../coordination/index.js';
 import type { MemberRecord } from '../../protocol/index.js';
@@ -12,22 +12,22 @@
 export class DirectPaces<Pace extends SendPace> {
   readonly #now: () => number;
 
-  #paces: ReadonlyMap<EndpointLife, Pace> = new Map();
+  #paces: ReadonlyMap<IncarnationKey, Pace> = new Map();
 
   constructor(now: () => number) {
     this.#now = now;
   }
 
-  get paces(): ReadonlyMap<EndpointLife, Pace> {
+  get paces(): ReadonlyMap<IncarnationKey, Pace> {
     return this.#paces;
   }
 
-  replace(paces: ReadonlyMap<EndpointLife, Pace>): void {
+  replace(paces: ReadonlyMap<IncarnationKey, Pace>): void {
     this.#paces = paces;
   }
 
   /** Endpoints that take nothing now, with the time until they do, ms; infinite for none to come. */
-  get heldBack(): readonly (readonly [EndpointLife, number])[] {
+  get heldBack(): readonly (readonly [IncarnationKey, number])[] {
     const now = this.#now();
     return [...this.#paces]
       .map(([life, pace]) => [life, paceWait(pace, now)] as const)
@@ -36,13 +36,13 @@
 
   /** Time until an endpoint takes a request, ms. */
   waitMs(endpoint: MemberRecord): number {
-    const pace = this.#paces.get(lifeOf(endpoint));
+    const pace = this.#paces.get(incarnationKeyOf(endpoint));
     return pace === undefined ? 0 : paceWait(pace, this.#now());
   }
 
   /** Takes the next turn at an endpoint, whenever that is. */
   reserve(endpoint: MemberRecord): void {
-    const life = lifeOf(endpoint);
+    const life = incarnationKeyOf(endpoint);
     const pace = this.#paces.get(life);
     if (pace !== undefined) {
       this.#paces = new Map(this.#paces).set(life, takeTurn(pace, this.#now()));
--- a/src/daemon/direct/DirectPools.ts
+++ b/src/daemon/direct/DirectPools.ts
@@ -1,5 +1,5 @@
 /** Connections of an entry process to endpoints, by life. */
-import { lifeOf, type EndpointLife } from '../../coordination/index.js';
+import { incarnationKeyOf, type IncarnationKey } from '../../coordination/index.js';
 import type { MemberRecord } from '../../protocol/index.js';
 import { openPool, type EndpointPool } from '../../transport/index.js';
 
@@ -14,25 +14,25 @@
 
 /** Task state of the process. */
 export class DirectPools {
-  readonly #pools = new Map<EndpointLife, EndpointPool>();
+  readonly #pools = new Map<IncarnationKey, EndpointPool>();
 
   /**
    * The connections to an endpoint, of which it takes `mostConnections` from all entry processes together.
    */
   to(endpoint: MemberRecord, mostConnections: number, entryHosts: number): EndpointPool {
-    const known = this.#pools.get(lifeOf(endpoint));
+    const known = this.#pools.get(incarnationKeyOf(endpoint));
     if (known !== undefined) {
       return known;
     }
     const sharers = Math.max(LEAST_SHARERS, entryHosts);
     const own = Math.floor((mostConnections * USED_SHARE) / sharers);
     const pool = openPool(`http://${endpoint.address}`, Math.max(LEAST_CONNECTIONS, own));
-    this.#pools.set(lifeOf(endpoint), pool);
+    this.#pools.set(incarnationKeyOf(endpoint), pool);
     return pool;
   }
 
   /** Closes the connections to lives that aren't kept; what runs on them may end. */
-  keep(isKept: (life: EndpointLife) => boolean): void {
+  keep(isKept: (life: IncarnationKey) => boolean): void {
     [...this.#pools].forEach(([life, pool]) => {
       if (!isKept(life)) {
         this.#pools.delete(life);
--- a/src/daemon/direct/DirectRests.ts
+++ b/src/daemon/direct/DirectRests.ts
@@ -1,6 +1,6 @@
 /** Rest that endpoints have asked this entry process for. */
 import { Gauge } from 'prom-client';
-import { dropRested, lifeOf, takeRest, type RestPace } from '../../coordination/index.js';
+import { dropRested, incarnationKeyOf, takeRest, type RestPace } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import { DirectPaces } from './DirectPaces.js';
@@ -32,13 +32,13 @@
     const { log, now } = this.#runtime;
     log.info({ event: 'rest', endpoint: endpoint.id, restMs, request }, 'an endpoint wants rest');
     if (restMs !== 'unreadable') {
-      this.replace(takeRest(this.paces, lifeOf(endpoint), restMs, now()));
+      this.replace(takeRest(this.paces, incarnationKeyOf(endpoint), restMs, now()));
     }
   }
 
   /** Whether an endpoint is at rest now. */
   isResting(endpoint: MemberRecord): boolean {
-    return (this.paces.get(lifeOf(endpoint))?.until ?? -Infinity) > this.#runtime.now();
+    return (this.paces.get(incarnationKeyOf(endpoint))?.until ?? -Infinity) > this.#runtime.now();
   }
 
   tick(): void {
--- a/src/daemon/direct/DirectTurns.ts
+++ b/src/daemon/direct/DirectTurns.ts
@@ -2,7 +2,7 @@
  * When endpoints that have asked for relief take a request from this entry process: asked before an endpoint is chosen,
  * and right before each send.
  */
-import { idOf, lifeOf, type EndpointLife, type LimitMark } from '../../coordination/index.js';
+import { endpointIdOf, incarnationKeyOf, type IncarnationKey, type LimitMark } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import { DirectLimits, type DirectLimitsOptions } from './DirectLimits.js';
 import { DirectRefusals } from './DirectRefusals.js';
@@ -32,7 +32,7 @@
   readonly #rests: DirectRests;
 
   /** Endpoints that have said that they leave, with when they last did, ms: they take nothing any more. */
-  readonly #leaving = new Map<EndpointLife, number>();
+  readonly #leaving = new Map<IncarnationKey, number>();
 
   readonly #runtime: DirectLimitsOptions['runtime'];
 
@@ -57,7 +57,7 @@
   }
 
   /** Forgets lives that are over: one that is only out of reach comes back within a time. */
-  keep(isKept: (life: EndpointLife) => boolean): void {
+  keep(isKept: (life: IncarnationKey) => boolean): void {
     const old = this.#runtime.now() - LEAVING_MS;
     [...this.#leaving]
       .filter(([life, at]) => at < old && !isKept(life))
@@ -66,7 +66,7 @@
 
   /** Whether a request may be sent to an endpoint now; `hasTurn` where its turn was taken before. */
   start(endpoint: MemberRecord, hasTurn: boolean): boolean {
-    if (this.#rests.isResting(endpoint) || this.#leaving.has(lifeOf(endpoint))) {
+    if (this.#rests.isResting(endpoint) || this.#leaving.has(incarnationKeyOf(endpoint))) {
       return false;
     }
     const isFree = hasTurn || this.#waitMs(endpoint) === 0;
@@ -116,7 +116,7 @@
       return;
     }
     const { log, now } = this.#runtime;
-    const life = lifeOf(endpoint);
+    const life = incarnationKeyOf(endpoint);
     if (!this.#leaving.has(life)) {
       log.info({ event: 'endpoint_leaves', endpoint: life, request }, 'an endpoint leaves');
     }
@@ -124,7 +124,7 @@
   }
 
   #waitMs(endpoint: MemberRecord): number {
-    if (this.#leaving.has(lifeOf(endpoint))) {
+    if (this.#leaving.has(incarnationKeyOf(endpoint))) {
       return Infinity;
     }
     return Math.max(this.limits.waitMs(endpoint), this.#rests.waitMs(endpoint));
@@ -140,8 +140,8 @@
     const paced = [...this.limits.heldBack, ...this.#rests.heldBack].map(([life]) => life);
     const lives = new Set([...paced, ...this.#leaving.keys()]);
     return [...lives].flatMap((life) => {
-      const endpoint = this.#serving(idOf(life));
-      return endpoint !== undefined && lifeOf(endpoint) === life
+      const endpoint = this.#serving(endpointIdOf(life));
+      return endpoint !== undefined && incarnationKeyOf(endpoint) === life
         ? [{ endpoint, waitMs: this.#waitMs(endpoint) }]
         : [];
     });
--- a/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
@@ -47,7 +47,7 @@
     hub,
     runtime: {
       now: () => now,
-      clocks: () => ({ steady: now, wall: now }),
+      clocks: () => ({ monotonic: now, wall: now }),
       log: { warn: () => undefined },
     },
     onNewest: (index) => held >= index,
