--- a/bench/BenchControlPure.ts
+++ b/bench/BenchControlPure.ts
@@ -1,7 +1,7 @@
 /** Cost of pure decisions at the full counts, in this process. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
-  dealSubset,
+  deterministicSubset,
   hashText,
   initRouting,
   rendezvousOrder,
@@ -26,7 +26,7 @@
     seed,
     entries: 87,
     endpoints: 264,
-    dealt: cover((entry) => dealSubset(endpoints, entries, entry, 32)),
+    dealt: cover((entry) => deterministicSubset(endpoints, entries, entry, 32)),
     rendezvous: cover((entry) => rendezvousOrder(hashText(entry), endpoints).slice(0, 32)),
   });
 }
--- a/bench/BenchRouting.ts
+++ b/bench/BenchRouting.ts
@@ -1,9 +1,9 @@
 /** How evenly entry hosts spread requests over ranks that they see late, against usual policies. */
-import { chooseRank, workAt, type PlaceGroup } from '../src/coordination/index.js';
+import { chooseRank, workAt, type GroupSlots } from '../src/coordination/index.js';
 import { report, round } from './BenchReport.js';
 import { playRouting, ROUTING_SHAPES, type RoutingPolicy } from './BenchRoutingModel.js';
 
-function listRanks(groups: readonly PlaceGroup[]): readonly string[] {
+function listRanks(groups: readonly GroupSlots[]): readonly string[] {
   return groups.flatMap(({ ranks }) => ranks.map(({ endpoint }) => endpoint));
 }
 
--- a/bench/BenchRoutingModel.ts
+++ b/bench/BenchRoutingModel.ts
@@ -5,17 +5,17 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import {
-  initPlaces,
-  takeLoad,
-  type PlaceGroup,
-  type PlaceRules,
+  initGroupSlots,
+  applyGroupLoad,
+  type GroupSlots,
+  type SlotParameters,
 } from '../src/coordination/index.js';
 import type { EngineCosts } from '../src/protocol/index.js';
 import { range } from './BenchReport.js';
 
 /** How an entry host chooses a rank's endpoint; null where it finds none. */
 export type RoutingPolicy = (
-  groups: readonly PlaceGroup[],
+  groups: readonly GroupSlots[],
   own: ReadonlyMap<string, number>,
   zone: string,
   random: () => number,
@@ -68,7 +68,7 @@
 };
 
 interface Host {
-  groups: readonly PlaceGroup[];
+  groups: readonly GroupSlots[];
   readonly zone: string;
   readonly weight: number;
   readonly own: Map<string, number>;
@@ -101,7 +101,7 @@
 
   readonly #random: () => number;
 
-  readonly #rules: PlaceRules;
+  readonly #rules: SlotParameters;
 
   readonly #hosts: readonly Host[];
 
@@ -125,7 +125,7 @@
     const costs = { ...COSTS, slots: shape.slots };
     this.#rules = { costs, pauseMs: 120, entryHosts: shape.hosts };
     const groups = range(shape.groups).map((group) =>
-      initPlaces(
+      initGroupSlots(
         `${group}`,
         range(shape.ranks).map((rank) => ({
           endpoint: endpointOf(group, rank),
@@ -203,7 +203,7 @@
           passMs: 70,
           skew: 1.2,
         };
-        return takeLoad(state, load, host.own, this.#rules, now, this.#random());
+        return applyGroupLoad(state, load, host.own, this.#rules, now, this.#random());
       });
     });
   }
--- a/src/coordination/Admission.ts
+++ b/src/coordination/Admission.ts
@@ -3,19 +3,19 @@
 import { RequestError, type Customer } from '../protocol/index.js';
 
 /** Retries allowed for each first try, and how many may be saved up. */
-const RETRY_RATIO = 0.1;
-const RETRY_SAVED = 10;
+const RETRY_TOKENS_PER_REQUEST = 0.1;
+const MAX_RETRY_TOKENS = 10;
 
 /** Requests in progress by customer, and each service's retry budget. */
 export interface AdmissionState {
   readonly inFlight: ImmutableMap<string, number>;
-  readonly retries: ImmutableMap<string, number>;
+  readonly retryTokens: ImmutableMap<string, number>;
 }
 
 /** Nothing in progress. */
 export const EMPTY_ADMISSION: AdmissionState = {
   inFlight: ImmutableMap(),
-  retries: ImmutableMap(),
+  retryTokens: ImmutableMap(),
 };
 
 /**
@@ -41,11 +41,11 @@
     );
     return { state, error };
   }
-  const saved = Math.min(RETRY_SAVED, (state.retries.get(service) ?? RETRY_SAVED) + RETRY_RATIO);
+  const saved = Math.min(MAX_RETRY_TOKENS, (state.retryTokens.get(service) ?? MAX_RETRY_TOKENS) + RETRY_TOKENS_PER_REQUEST);
   return {
     state: {
       inFlight: state.inFlight.set(customer.name, inFlight + 1),
-      retries: state.retries.set(service, saved),
+      retryTokens: state.retryTokens.set(service, saved),
     },
     error: null,
   };
@@ -63,11 +63,11 @@
   state: AdmissionState,
   service: string,
 ): { readonly state: AdmissionState; readonly allowed: boolean } {
-  const saved = state.retries.get(service) ?? RETRY_SAVED;
+  const saved = state.retryTokens.get(service) ?? MAX_RETRY_TOKENS;
   return saved < 1
     ? { state, allowed: false }
     : {
-        state: { ...state, retries: state.retries.set(service, saved - 1) },
+        state: { ...state, retryTokens: state.retryTokens.set(service, saved - 1) },
         allowed: true,
       };
 }
--- a/src/coordination/Attempts.ts
+++ b/src/coordination/Attempts.ts
@@ -13,7 +13,7 @@
 export const MAX_ATTEMPTS = 3;
 
 /** Time a further attempt must have left to be worth starting. In ms. */
-export const LEAST_TIME_MS = 50;
+export const MIN_ATTEMPT_TIME_MS = 50;
 
 /** Where a request stands. */
 export type AttemptPhase = 'routing' | 'waiting' | 'answering' | 'revoking' | 'finished';
@@ -27,11 +27,11 @@
   readonly phase: AttemptPhase;
   readonly attempt: number;
   readonly endpoint: MemberRecord | null;
-  readonly tried: readonly string[];
+  readonly triedEndpoints: readonly string[];
   /** Events taken from the running attempt. */
   readonly seq: number;
   /** Whether the caller has been sent a part of the answer. */
-  readonly begun: boolean;
+  readonly responseStarted: boolean;
   /** Whether an earlier attempt may have run. */
   readonly mayHaveRun: boolean;
 }
@@ -107,9 +107,9 @@
       phase: 'routing',
       attempt: 1,
       endpoint: null,
-      tried: [],
+      triedEndpoints: [],
       seq: 0,
-      begun: false,
+      responseStarted: false,
       mayHaveRun: false,
     },
     outputs: [{ type: 'route', exclude: [] }],
@@ -136,13 +136,13 @@
  */
 function retry(state: AttemptState, ctx: AttemptContext, error: RequestError): AttemptStep {
   const { endpoint, attempt } = state;
-  const timeLeft = state.deadline - ctx.now >= LEAST_TIME_MS;
-  if (state.begun || attempt >= MAX_ATTEMPTS || !timeLeft || !ctx.takeRetry()) {
+  const timeLeft = state.deadline - ctx.now >= MIN_ATTEMPT_TIME_MS;
+  if (state.responseStarted || attempt >= MAX_ATTEMPTS || !timeLeft || !ctx.takeRetry()) {
     return fail(state, error);
   }
-  const tried = endpoint === null ? state.tried : [...state.tried, endpoint.id];
+  const tried = endpoint === null ? state.triedEndpoints : [...state.triedEndpoints, endpoint.id];
   return {
-    state: { ...state, phase: 'routing', attempt: attempt + 1, endpoint: null, tried, seq: 0 },
+    state: { ...state, phase: 'routing', attempt: attempt + 1, endpoint: null, triedEndpoints: tried, seq: 0 },
     outputs: [{ type: 'reset' }, { type: 'route', exclude: tried }],
   };
 }
@@ -189,7 +189,7 @@
   return { ...next, outputs: [revoke, ...next.outputs] };
 }
 
-function unknown(state: AttemptState): AttemptStep {
+function failOutcomeUnknown(state: AttemptState): AttemptStep {
   return fail(
     state,
     new RequestError('outcome_unknown', 'the endpoint was lost and may have run the call'),
@@ -203,7 +203,7 @@
 ): AttemptStep {
   return input.state === 'revoked'
     ? retry(state, ctx, new RequestError('revoked', 'the endpoint was lost; the call was not run'))
-    : unknown(state);
+    : failOutcomeUnknown(state);
 }
 
 /** An attempt that is held was never sent; whether an earlier one has run decides what is true. */
@@ -290,9 +290,9 @@
     retry(state, ctx, new RequestError('no_endpoint', 'no connection to the endpoint')),
   lost: (state, _input, ctx) => onLost(state, ctx),
   revokeReply: onRevokeReply,
-  revokeFailed: unknown,
+  revokeFailed: failOutcomeUnknown,
   head: (state, { frame }) => ({
-    state: { ...state, phase: 'answering', begun: frame.streamed },
+    state: { ...state, phase: 'answering', responseStarted: frame.streamed },
     outputs: [{ type: 'deliver' }],
   }),
   data: onData,
@@ -303,7 +303,7 @@
 };
 
 /** Phases in which an input makes sense; in any other it is late. */
-const PHASES: Readonly<Partial<Record<AttemptInput['type'], readonly AttemptPhase[]>>> = {
+const VALID_PHASES: Readonly<Partial<Record<AttemptInput['type'], readonly AttemptPhase[]>>> = {
   held: ['waiting'],
   refused: ['waiting'],
   unsent: ['waiting'],
@@ -342,7 +342,7 @@
   input: AttemptInput,
   ctx: AttemptContext,
 ): AttemptStep {
-  const inPhase = PHASES[input.type]?.includes(state.phase) ?? true;
+  const inPhase = VALID_PHASES[input.type]?.includes(state.phase) ?? true;
   if (state.phase === 'finished' || !inPhase || !isCurrent(state, input)) {
     return { state, outputs: [] };
   }
--- a/src/coordination/DirectAttempts.ts
+++ b/src/coordination/DirectAttempts.ts
@@ -39,30 +39,30 @@
   /** Whether it may run more than once. */
   readonly repeatable: boolean;
   /** Endpoints that it was sent to, and how many it may be sent to. */
-  readonly sends: number;
+  readonly sendCount: number;
   readonly maxSends: number;
   /** Whether an earlier attempt may have run. */
   readonly mayHaveRun: boolean;
   /** Whether the caller has been sent a part of a stream, and whether that can go on elsewhere. */
-  readonly begun: boolean;
+  readonly responseStarted: boolean;
   readonly canResume: boolean;
   /** Whether all groups of the service are closed, as far as is known. */
-  readonly isClosed: boolean;
+  readonly isServiceDown: boolean;
   /** Time left, ms. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
 }
 
 /** Time that a further attempt must have left to be worth starting, ms: a plain call takes 20. */
-export const LEAST_RETRY_MS = 60;
+export const MIN_RETRY_TIME_MS = 60;
 
 /** Attempts that can't be sent are tried elsewhere this often: they cost the endpoints nothing. */
-const MOST_UNSENT = 4;
+const MAX_UNSENT_ATTEMPTS = 4;
 
 /** Statuses that tell a caller that its request has not run and never will. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Whether an answer with this status promises its caller that the request has not run. */
-export function promisesNotRun(status: number): boolean {
+export function isNotRunStatus(status: number): boolean {
   return NOT_RUN_STATUSES.has(status);
 }
 
@@ -72,14 +72,14 @@
 }
 
 function mayRetry(failure: DirectFailure, progress: DirectProgress, unsent: number): boolean {
-  const { repeatable, sends, maxSends, leftMs, begun, canResume } = progress;
-  if (leftMs < LEAST_RETRY_MS || (begun && !canResume)) {
+  const { repeatable, sendCount, maxSends, remainingMs, responseStarted, canResume } = progress;
+  if (remainingMs < MIN_RETRY_TIME_MS || (responseStarted && !canResume)) {
     return false;
   }
   if (isUnsent(failure)) {
-    return unsent <= MOST_UNSENT;
+    return unsent <= MAX_UNSENT_ATTEMPTS;
   }
-  return sends < maxSends && (repeatable || failure === 'notRun');
+  return sendCount < maxSends && (repeatable || failure === 'notRun');
 }
 
 /**
@@ -90,10 +90,10 @@
  * back while the group is still closed. Enough: the request waits for the group as long as its caller does,
  * as if it had come while the group was closed.
  */
-function mayWait(failure: DirectFailure, progress: DirectProgress): boolean {
-  const { isClosed, begun, mayHaveRun, repeatable, sends, maxSends } = progress;
+function mayRequeue(failure: DirectFailure, progress: DirectProgress): boolean {
+  const { isServiceDown, responseStarted, mayHaveRun, repeatable, sendCount, maxSends } = progress;
   const mayRunAgain = repeatable || (failure === 'notRun' && !mayHaveRun);
-  return isClosed && !begun && mayRunAgain && failure !== 'failed' && sends < maxSends;
+  return isServiceDown && !responseStarted && mayRunAgain && failure !== 'failed' && sendCount < maxSends;
 }
 
 /**
@@ -106,18 +106,18 @@
   unsent: number,
   takeRetry: () => boolean,
 ): DirectVerdict {
-  if (mayWait(failure, progress)) {
+  if (mayRequeue(failure, progress)) {
     return 'wait';
   }
   if (mayRetry(failure, progress, unsent) && (isUnsent(failure) || takeRetry())) {
     return 'retry';
   }
-  if (progress.begun) {
+  if (progress.responseStarted) {
     return 'cut';
   }
-  const ran = progress.mayHaveRun || failure === 'lost' || failure === 'broken';
+  const mayRun = progress.mayHaveRun || failure === 'lost' || failure === 'broken';
   if (failure === 'failed') {
     return 'pass';
   }
-  return ran ? 'fail' : 'refuse';
+  return mayRun ? 'fail' : 'refuse';
 }
--- a/src/coordination/EndpointLimits.ts
+++ b/src/coordination/EndpointLimits.ts
@@ -12,10 +12,10 @@
 /** A limit as this process holds it; times in ms on the local monotonic clock. */
 export interface EndpointLimit extends Omit<LimitRecord, 'ageMs'> {
   /** When it was named, as far as is known here. */
-  readonly namedAt: number;
+  readonly advertisedAt: number;
   /** When an answer to this process last named a limit, and which. */
-  readonly ownAt: number;
-  readonly own: number | null;
+  readonly observedAt: number;
+  readonly observedPerSecond: number | null;
 }
 
 /** All limits, by life; those that are lifted are kept, so that late news of them changes nothing. */
@@ -25,7 +25,7 @@
 export const NO_LIMITS: LimitsState = new Map();
 
 /** What a process knew of an endpoint's limit when it sent a request. */
-export interface LimitMark {
+export interface LimitTimestamp {
   readonly clock: number;
   /** When it was sent, ms on the local monotonic clock. */
   readonly at: number;
@@ -38,20 +38,20 @@
 }
 
 /** A limit that nobody has confirmed for this long is forgotten, and one that holds is confirmed this often; ms. */
-export const LIMIT_MS = 600_000;
-const CONFIRM_MS = 60_000;
+export const LIMIT_TTL_MS = 600_000;
+const CONFIRM_INTERVAL_MS = 60_000;
 
 /**
  * A process that an answer has named a limit to within this time doesn't believe others that it is lifted: their
  * proof may be the older one. In ms.
  */
-const DOUBT_MS = 2_000;
+const DISTRUST_LIFT_MS = 2_000;
 
 /** Limits that are kept; more endpoints than any service has. */
-export const MOST_LIMITS = 4_096;
+export const MAX_LIMITS = 4_096;
 
 /** Limits in one message. */
-const RECORDS_A_MESSAGE = 64;
+const MAX_RECORDS_PER_MESSAGE = 64;
 
 /** The stricter of two; null is no limit. */
 function stricter(a: number | null, b: number | null): number | null {
@@ -59,25 +59,25 @@
 }
 
 /** The clock by which a request to an endpoint is marked when it is sent. */
-export function clockOf(state: LimitsState, life: IncarnationKey): number {
-  return state.get(life)?.clock ?? 0;
+export function clockOf(state: LimitsState, incarnationKey: IncarnationKey): number {
+  return state.get(incarnationKey)?.clock ?? 0;
 }
 
-function replace(state: LimitsState, limit: EndpointLimit): LimitsStep {
+function setLimit(state: LimitsState, limit: EndpointLimit): LimitsStep {
   const known = state.get(limit.life);
-  const isNews = known?.clock !== limit.clock || known.perSecond !== limit.perSecond;
-  if (known === undefined && state.size >= MOST_LIMITS) {
+  const isUpdate = known?.clock !== limit.clock || known.perSecond !== limit.perSecond;
+  if (known === undefined && state.size >= MAX_LIMITS) {
     return { state, changed: [] };
   }
-  return { state: new Map(state).set(limit.life, limit), changed: isNews ? [limit] : [] };
+  return { state: new Map(state).set(limit.life, limit), changed: isUpdate ? [limit] : [] };
 }
 
-function mergeOne(state: LimitsState, record: LimitRecord, now: number): LimitsStep {
-  const { life, clock, perSecond, ageMs } = record;
-  const known = state.get(life);
+function mergeRecord(state: LimitsState, record: LimitRecord, now: number): LimitsStep {
+  const { life: incarnationKey, clock, perSecond, ageMs } = record;
+  const known = state.get(incarnationKey);
   if (known === undefined) {
-    const limit = { life, clock, perSecond, namedAt: now - ageMs, ownAt: -Infinity, own: null };
-    return replace(state, limit);
+    const limit = { life: incarnationKey, clock, perSecond, advertisedAt: now - ageMs, observedAt: -Infinity, observedPerSecond: null };
+    return setLimit(state, limit);
   }
   if (clock < known.clock) {
     return { state, changed: [] };
@@ -86,69 +86,69 @@
     const strict = stricter(known.perSecond, perSecond);
     return strict === known.perSecond
       ? { state, changed: [] }
-      : replace(state, { ...known, perSecond: strict, namedAt: now - ageMs });
+      : setLimit(state, { ...known, perSecond: strict, advertisedAt: now - ageMs });
   }
-  const isDoubted = perSecond === null && now - known.ownAt < DOUBT_MS;
-  return replace(state, {
+  const isLiftDistrusted = perSecond === null && now - known.observedAt < DISTRUST_LIFT_MS;
+  return setLimit(state, {
     ...known,
     clock,
-    perSecond: isDoubted ? known.own : perSecond,
-    namedAt: now - ageMs,
+    perSecond: isLiftDistrusted ? known.observedPerSecond : perSecond,
+    advertisedAt: now - ageMs,
   });
 }
 
 /** Takes another process's news, or its whole set. */
 export function mergeLimits(state: LimitsState, { records }: LimitNews, now: number): LimitsStep {
   return records
-    .filter(({ ageMs }) => ageMs < LIMIT_MS)
+    .filter(({ ageMs }) => ageMs < LIMIT_TTL_MS)
     .reduce<LimitsStep>(
       (step, record) => {
-        const next = mergeOne(step.state, record, now);
+        const next = mergeRecord(step.state, record, now);
         return { state: next.state, changed: [...step.changed, ...next.changed] };
       },
       { state, changed: [] },
     );
 }
 
-function takeLimit(
+function applyLimit(
   state: LimitsState,
-  life: IncarnationKey,
-  sent: LimitMark,
+  incarnationKey: IncarnationKey,
+  sent: LimitTimestamp,
   perSecond: number,
   now: number,
 ): LimitsStep {
-  const known = state.get(life);
-  const own = { ownAt: now, own: perSecond };
+  const known = state.get(incarnationKey);
+  const observed = { observedAt: now, observedPerSecond: perSecond };
   if (known === undefined) {
-    return replace(state, { life, clock: 1, perSecond, namedAt: now, ...own });
+    return setLimit(state, { life: incarnationKey, clock: 1, perSecond, advertisedAt: now, ...observed });
   }
-  const isLater = sent.clock === known.clock && sent.at >= known.ownAt;
-  const isDue = now - known.namedAt > CONFIRM_MS;
+  const isLater = sent.clock === known.clock && sent.at >= known.observedAt;
+  const isDue = now - known.advertisedAt > CONFIRM_INTERVAL_MS;
   if (isLater && (isDue || perSecond !== known.perSecond)) {
-    return replace(state, { ...known, clock: known.clock + 1, perSecond, namedAt: now, ...own });
+    return setLimit(state, { ...known, clock: known.clock + 1, perSecond, advertisedAt: now, ...observed });
   }
   const strict = stricter(known.perSecond, perSecond);
-  return replace(state, { ...known, perSecond: strict, ...own });
+  return setLimit(state, { ...known, perSecond: strict, ...observed });
 }
 
-function takeNone(
+function applyNoLimit(
   state: LimitsState,
-  life: IncarnationKey,
-  sent: LimitMark,
+  incarnationKey: IncarnationKey,
+  sent: LimitTimestamp,
   now: number,
 ): LimitsStep {
-  const known = state.get(life);
+  const known = state.get(incarnationKey);
   const isLimited = known !== undefined && known.perSecond !== null;
-  return isLimited && sent.clock === known.clock && sent.at >= known.ownAt
-    ? replace(state, { ...known, clock: known.clock + 1, perSecond: null, namedAt: now })
+  return isLimited && sent.clock === known.clock && sent.at >= known.observedAt
+    ? setLimit(state, { ...known, clock: known.clock + 1, perSecond: null, advertisedAt: now })
     : { state, changed: [] };
 }
 
 /** Takes what an answer of an endpoint names; `sent` is the mark of its request. */
-export function takeNamedLimit(
+export function applyAdvertisedLimit(
   state: LimitsState,
-  life: IncarnationKey,
-  sent: LimitMark,
+  incarnationKey: IncarnationKey,
+  sent: LimitTimestamp,
   limit: NamedLimit,
   now: number,
 ): LimitsStep {
@@ -156,40 +156,40 @@
     return { state, changed: [] };
   }
   return limit === 'none'
-    ? takeNone(state, life, sent, now)
-    : takeLimit(state, life, sent, limit, now);
+    ? applyNoLimit(state, incarnationKey, sent, now)
+    : applyLimit(state, incarnationKey, sent, limit, now);
 }
 
 /** Forgets what is too old; the same state where nothing is. */
-export function forgetLimits(state: LimitsState, now: number): LimitsState {
-  const kept = [...state].filter(([, { namedAt }]) => now - namedAt < LIMIT_MS);
+export function dropExpiredLimits(state: LimitsState, now: number): LimitsState {
+  const kept = [...state].filter(([, { advertisedAt }]) => now - advertisedAt < LIMIT_TTL_MS);
   return kept.length === state.size ? state : new Map(kept);
 }
 
 /** Stands for a whole set: two processes that hold the same have the same. 0 for an empty one. */
 export function hashLimits(state: LimitsState): number {
   const lines = [...state.values()]
-    .map(({ life, clock, perSecond }) => `${life} ${clock} ${perSecond ?? ''}`)
+    .map(({ life: incarnationKey, clock, perSecond }) => `${incarnationKey} ${clock} ${perSecond ?? ''}`)
     .sort();
   return lines.length === 0 ? 0 : hashText(lines.join('\n'));
 }
 
 /** Limits as they are told to another process, in messages of a bounded size; one at least. */
-export function writeLimits(
+export function toLimitUpdates(
   state: LimitsState,
   limits: readonly EndpointLimit[],
   now: number,
 ): readonly LimitNews[] {
   const hash = hashLimits(state);
-  const records = limits.map(({ life, clock, perSecond, namedAt }) => ({
+  const records = limits.map(({ life, clock, perSecond, advertisedAt }) => ({
     life,
     clock,
     perSecond,
-    ageMs: now - namedAt,
+    ageMs: now - advertisedAt,
   }));
-  const messages = Math.max(1, Math.ceil(records.length / RECORDS_A_MESSAGE));
+  const messages = Math.max(1, Math.ceil(records.length / MAX_RECORDS_PER_MESSAGE));
   return Array.from({ length: messages }, (_item, i) => ({
-    records: records.slice(i * RECORDS_A_MESSAGE, (i + 1) * RECORDS_A_MESSAGE),
+    records: records.slice(i * MAX_RECORDS_PER_MESSAGE, (i + 1) * MAX_RECORDS_PER_MESSAGE),
     hash,
   }));
 }
--- a/src/coordination/EndpointRefusals.ts
+++ b/src/coordination/EndpointRefusals.ts
@@ -4,13 +4,13 @@
  */
 
 /** How long an endpoint is passed over after a first refusal, ms; each further one doubles that. */
-const FIRST_MS = 100;
+const INITIAL_AVOID_MS = 100;
 
 /** Longest time that an endpoint is passed over, ms. */
-const MOST_MS = 800;
+const MAX_AVOID_MS = 800;
 
 /** A refusal later than this after the last begins anew, ms. */
-const FORGET_MS = 2_000;
+const REFUSAL_TTL_MS = 2_000;
 
 /** Refusals of one endpoint in a row. */
 export interface EndpointRefusal {
@@ -25,7 +25,7 @@
 export type EndpointRefusals = ReadonlyMap<string, EndpointRefusal>;
 
 /** Takes a refusal. One of a request that was on its way with the last counts once with it. */
-export function takeRefusal(
+export function recordRefusal(
   refusals: EndpointRefusals,
   endpoint: string,
   now: number,
@@ -34,25 +34,25 @@
   if (known !== undefined && now < known.until) {
     return refusals;
   }
-  const count = known !== undefined && now - known.at < FORGET_MS ? known.count + 1 : 1;
-  const until = now + Math.min(MOST_MS, FIRST_MS * 2 ** (count - 1));
+  const count = known !== undefined && now - known.at < REFUSAL_TTL_MS ? known.count + 1 : 1;
+  const until = now + Math.min(MAX_AVOID_MS, INITIAL_AVOID_MS * 2 ** (count - 1));
   return new Map(refusals).set(endpoint, { count, at: now, until });
 }
 
 /** The endpoint has answered a request whole; the same map where it had refused none. */
-export function endRefusals(refusals: EndpointRefusals, endpoint: string): EndpointRefusals {
+export function clearRefusals(refusals: EndpointRefusals, endpoint: string): EndpointRefusals {
   return refusals.has(endpoint)
     ? new Map([...refusals].filter(([id]) => id !== endpoint))
     : refusals;
 }
 
 /** Drops what is too old to count; the same map where nothing is. */
-export function dropRefusals(refusals: EndpointRefusals, now: number): EndpointRefusals {
-  const kept = [...refusals].filter(([, { at }]) => now - at < FORGET_MS);
+export function dropExpiredRefusals(refusals: EndpointRefusals, now: number): EndpointRefusals {
+  const kept = [...refusals].filter(([, { at }]) => now - at < REFUSAL_TTL_MS);
   return kept.length === refusals.size ? refusals : new Map(kept);
 }
 
 /** Endpoints that are passed over now. */
-export function refusingNow(refusals: EndpointRefusals, now: number): readonly string[] {
+export function refusingEndpoints(refusals: EndpointRefusals, now: number): readonly string[] {
   return [...refusals].flatMap(([endpoint, { until }]) => (now < until ? [endpoint] : []));
 }
--- a/src/coordination/Gate.ts
+++ b/src/coordination/Gate.ts
@@ -6,7 +6,7 @@
 import type { ErrorCode } from '../protocol/index.js';
 
 /** How long an attempt's end or revocation is remembered: longer than any message can be late. */
-export const REMEMBER_MS = 120_000;
+export const CLOSED_ATTEMPT_TTL_MS = 120_000;
 
 /** An attempt's key: the entry process's incarnation is part of the request's id. */
 export type AttemptKey = string;
@@ -16,11 +16,11 @@
   readonly incarnation: number;
   readonly phase: 'starting' | 'serving' | 'leaving';
   /** Attempts started and not ended. */
-  readonly running: ImmutableMap<AttemptKey, { readonly customer: string; readonly since: number }>;
+  readonly running: ImmutableMap<AttemptKey, { readonly customer: string; readonly startedAt: number }>;
   /** Attempts that have ended or were revoked, with when. */
   readonly closed: ImmutableMap<
     AttemptKey,
-    { readonly how: 'ended' | 'revoked'; readonly at: number }
+    { readonly reason: 'ended' | 'revoked'; readonly at: number }
   >;
 }
 
@@ -84,11 +84,11 @@
   if (code !== null) {
     return { state, outputs: [{ type: 'refuse', key, code }] };
   }
-  const running = state.running.set(key, { customer, since: now });
+  const running = state.running.set(key, { customer, startedAt: now });
   return { state: { ...state, running }, outputs: [{ type: 'start', key }] };
 }
 
-function drained(state: GateState): readonly GateOutput[] {
+function outputIfDrained(state: GateState): readonly GateOutput[] {
   return state.phase === 'leaving' && state.running.size === 0 ? [{ type: 'drained' }] : [];
 }
 
@@ -96,9 +96,9 @@
   const next: GateState = {
     ...state,
     running: state.running.delete(key),
-    closed: state.closed.set(key, { how: 'ended', at: now }),
+    closed: state.closed.set(key, { reason: 'ended', at: now }),
   };
-  return { state: next, outputs: drained(next) };
+  return { state: next, outputs: outputIfDrained(next) };
 }
 
 /**
@@ -116,16 +116,16 @@
   now: number,
 ): GateStep {
   const known = state.closed.get(key);
-  const started = target !== state.incarnation || state.running.has(key) || known?.how === 'ended';
+  const started = target !== state.incarnation || state.running.has(key) || known?.reason === 'ended';
   if (started) {
     return { state, outputs: [{ type: 'revoked', key, state: 'started' }] };
   }
-  const closed = state.closed.set(key, { how: 'revoked', at: now });
+  const closed = state.closed.set(key, { reason: 'revoked', at: now });
   return { state: { ...state, closed }, outputs: [{ type: 'revoked', key, state: 'revoked' }] };
 }
 
 function onTick(state: GateState, now: number): GateStep {
-  const closed = state.closed.filter(({ at }) => now - at <= REMEMBER_MS);
+  const closed = state.closed.filter(({ at }) => now - at <= CLOSED_ATTEMPT_TTL_MS);
   return { state: { ...state, closed }, outputs: [] };
 }
 
@@ -147,7 +147,7 @@
   }),
   leave: (state) => {
     const next: GateState = { ...state, phase: 'leaving' };
-    return { state: next, outputs: drained(next) };
+    return { state: next, outputs: outputIfDrained(next) };
   },
   tick: (state, _input, now) => onTick(state, now),
 };
--- a/src/coordination/Places.ts
+++ b/src/coordination/GroupSlots.ts
@@ -16,16 +16,16 @@
 } from './EngineModel.js';
 
 /** One rank's endpoint. */
-export interface PlaceRank {
+export interface GroupRank {
   readonly endpoint: string;
   readonly rank: number;
   readonly zone: string;
 }
 
 /** What is known of one group. */
-export interface PlaceGroup {
+export interface GroupSlots {
   readonly group: string;
-  readonly ranks: readonly PlaceRank[];
+  readonly ranks: readonly GroupRank[];
   readonly load: GroupLoad | null;
   /** When the load came, ms. */
   readonly loadAt: number;
@@ -42,7 +42,7 @@
 }
 
 /** What the figures are worked out from. */
-export interface PlaceRules {
+export interface SlotParameters {
   readonly costs: EngineCosts;
   /** Longest pause between two events that is on time, ms. */
   readonly pauseMs: number;
@@ -51,13 +51,13 @@
 }
 
 /** A load older than this says nothing; the coordinator is gone or out of reach. In ms. */
-export const LOAD_VALID_MS = 1_500;
+export const LOAD_TTL_MS = 1_500;
 
 /** Part of the longest pause that a pass may take: prompts are read in between. */
-const PAUSE_SHARE = 0.9;
+const MAX_PASS_SHARE = 0.9;
 
 /** Writers that each rank keeps even where passes are too long: late answers are worth something. */
-const LEAST_WRITERS = 2;
+const MIN_WRITERS = 2;
 
 /** More of the free places than its even part that a process may take: not all have work at once. */
 const OVERCOMMIT = 1.3;
@@ -67,18 +67,18 @@
 }
 
 /** Writers on each rank that the costs and the passes observed allow. */
-function limitWriters({ costs, pauseMs }: PlaceRules, correction: number): number {
-  const within = writersWithin(costs, correction, pauseMs * PAUSE_SHARE);
-  return Math.min(costs.slots, Math.max(LEAST_WRITERS, within));
+function maxWriters({ costs, pauseMs }: SlotParameters, correction: number): number {
+  const within = writersWithin(costs, correction, pauseMs * MAX_PASS_SHARE);
+  return Math.min(costs.slots, Math.max(MIN_WRITERS, within));
 }
 
 /** A group just seen: without a load this process takes an even part of all places. */
-export function initPlaces(
+export function initGroupSlots(
   group: string,
-  ranks: readonly PlaceRank[],
-  rules: PlaceRules,
-): PlaceGroup {
-  const limit = ranks.length * limitWriters(rules, USUAL_CORRECTION);
+  ranks: readonly GroupRank[],
+  rules: SlotParameters,
+): GroupSlots {
+  const limit = ranks.length * maxWriters(rules, USUAL_CORRECTION);
   return {
     group,
     ranks,
@@ -101,27 +101,27 @@
  * them fewer places are given during each shift of demand, and more requests are late for want of one (worth
  * 0.722 instead of 0.773 where demand shifts every 3.5 s).
  */
-function loadCorrection({ costs }: PlaceRules, writers: number, load: GroupLoad): number {
+function loadCorrection({ costs }: SlotParameters, writers: number, load: GroupLoad): number {
   const observed = passCorrection(costs, writers, load.passMs);
   return load.passMs === null ? Math.max(observed, skewCorrection(costs, load.skew)) : observed;
 }
 
 /** Takes a group's load; `random` from 0 to 1 decides on the fraction of a place. */
-export function takeLoad(
-  state: PlaceGroup,
+export function applyGroupLoad(
+  state: GroupSlots,
   load: GroupLoad,
   own: ReadonlyMap<string, number>,
-  rules: PlaceRules,
+  rules: SlotParameters,
   now: number,
   random: number,
-): PlaceGroup {
+): GroupSlots {
   const ranks = Math.max(1, load.active.length);
   const running = sum(load.active) + sum(load.queued);
   const writers = sum(load.active) / ranks;
   const correction = loadCorrection(rules, writers, load);
   const slow = load.slow?.length ?? 0;
   const usable = slow < ranks ? ranks - slow : ranks;
-  const limit = load.open ? usable * limitWriters(rules, correction) : 0;
+  const limit = load.open ? usable * maxWriters(rules, correction) : 0;
   const ownRunning = sum(state.ranks.map(({ endpoint }) => own.get(endpoint) ?? 0));
   const free = limit - running;
   const part = (Math.max(0, free) / Math.max(1, rules.entryHosts)) * OVERCOMMIT;
@@ -145,33 +145,33 @@
  * Symptom: what is known of the group grows old, it passes for open, and each request and its second try
  * go to ranks that refuse them. Enough: a rank's word counts as long as a load would.
  */
-export function breakPlaces(state: PlaceGroup, now: number): PlaceGroup {
+export function markGroupBroken(state: GroupSlots, now: number): GroupSlots {
   return { ...state, brokenAt: now };
 }
 
 /** The group is heard again: an event of a stream has come from it. */
-export function mendPlaces(state: PlaceGroup): PlaceGroup {
+export function markGroupRecovered(state: GroupSlots): GroupSlots {
   return state.brokenAt === null ? state : { ...state, brokenAt: null };
 }
 
 /** Whether the group answers, as far as is known. */
-export function isOpenGroup({ load, brokenAt }: PlaceGroup): boolean {
+export function isOpenGroup({ load, brokenAt }: GroupSlots): boolean {
   return brokenAt === null && (load === null || load.open);
 }
 
 /** What this process sees of its own streams at a group. */
 export interface OwnStreams {
   /** Streams whose first event has come and whose last hasn't. */
-  readonly writing: number;
+  readonly writingCount: number;
   /** When an event of any of them came last, ms. */
-  readonly eventAt: number;
+  readonly lastEventAt: number;
 }
 
 /** Passes without an event of any own stream after which a group with writers stands still. */
-const SILENT_PASSES = 4;
+const STALL_PASSES = 4;
 
 /** The least time for that, ms: events come in bunches when a host is busy, and prompts lengthen a pass. */
-const SILENT_MS = 300;
+const MIN_STALL_MS = 300;
 
 /**
  * Whether a group stands still: each pass brings an event of each stream, and none has come for several.
@@ -181,30 +181,30 @@
  * it is lost; or it hangs in a connection to the rank that is out of reach until its caller leaves. Enough:
  * after 0.3 s of silence the group counts as broken, and what comes waits here instead, and hasn't run.
  */
-export function isStandingStill(state: PlaceGroup, own: OwnStreams, now: number): boolean {
-  const silence = Math.max(SILENT_MS, SILENT_PASSES * state.passMs);
-  return own.writing > 0 && now - own.eventAt > silence;
+export function isGroupStalled(state: GroupSlots, own: OwnStreams, now: number): boolean {
+  const silence = Math.max(MIN_STALL_MS, STALL_PASSES * state.passMs);
+  return own.writingCount > 0 && now - own.lastEventAt > silence;
 }
 
 /** The group's state once its load, or a rank's word that it is broken, is too old to count. */
-export function agePlaces(state: PlaceGroup, rules: PlaceRules, now: number): PlaceGroup {
+export function dropStaleLoad(state: GroupSlots, rules: SlotParameters, now: number): GroupSlots {
   const { load, loadAt, brokenAt } = state;
-  if (brokenAt !== null && now - brokenAt <= LOAD_VALID_MS) {
+  if (brokenAt !== null && now - brokenAt <= LOAD_TTL_MS) {
     return state;
   }
-  const isOld = load !== null && now - loadAt > LOAD_VALID_MS;
-  const isOver = brokenAt !== null && load === null;
-  return isOld || isOver ? initPlaces(state.group, state.ranks, rules) : state;
+  const isLoadStale = load !== null && now - loadAt > LOAD_TTL_MS;
+  const isBrokenStale = brokenAt !== null && load === null;
+  return isLoadStale || isBrokenStale ? initGroupSlots(state.group, state.ranks, rules) : state;
 }
 
 /** Requests that this process runs at a group. */
-export function ownAt(state: PlaceGroup, own: ReadonlyMap<string, number>): number {
+export function ownRequestsAt(state: GroupSlots, own: ReadonlyMap<string, number>): number {
   return sum(state.ranks.map(({ endpoint }) => own.get(endpoint) ?? 0));
 }
 
 /** Places that this process may still take at a group. */
-export function freeAt(state: PlaceGroup, own: ReadonlyMap<string, number>): number {
-  return Math.max(0, state.allowance - ownAt(state, own));
+export function freeSlotsAt(state: GroupSlots, own: ReadonlyMap<string, number>): number {
+  return Math.max(0, state.allowance - ownRequestsAt(state, own));
 }
 
 /**
@@ -215,8 +215,8 @@
 
 /** Requests at a rank as they weigh on the choice. */
 export function workAt(
-  state: PlaceGroup,
-  { endpoint, rank }: PlaceRank,
+  state: GroupSlots,
+  { endpoint, rank }: GroupRank,
   own: ReadonlyMap<string, number>,
 ): number {
   const reported = (state.load?.active[rank] ?? 0) + (state.load?.queued[rank] ?? 0);
@@ -225,15 +225,15 @@
 }
 
 /** A rank elsewhere must have this much less work to be worth bytes between AZs. */
-const REMOTE_WORK = 0.9;
+const REMOTE_ZONE_PENALTY = 0.9;
 
 /** Ranks of the own AZ, and of any AZ, that are looked at for a request. */
 const LOCAL_SAMPLE = 2;
 const ANY_SAMPLE = 2;
 
 interface Candidate {
-  readonly state: PlaceGroup;
-  readonly rank: PlaceRank;
+  readonly state: GroupSlots;
+  readonly rank: GroupRank;
 }
 
 function sample<T>(items: readonly T[], count: number, random: () => number): readonly T[] {
@@ -244,26 +244,26 @@
 
 /** Ranks of a group that may take a request, without those that are slow as long as there are others. */
 function usableRanks(
-  { load, ranks }: PlaceGroup,
+  { load, ranks }: GroupSlots,
   exclude: readonly string[],
-): readonly PlaceRank[] {
+): readonly GroupRank[] {
   const left = ranks.filter(({ endpoint }) => !exclude.includes(endpoint));
   const slow = load?.slow ?? [];
-  const quick = slow.length === 0 ? left : left.filter(({ rank }) => !slow.includes(rank));
-  return quick.length > 0 ? quick : left;
+  const notSlow = slow.length === 0 ? left : left.filter(({ rank }) => !slow.includes(rank));
+  return notSlow.length > 0 ? notSlow : left;
 }
 
 /** Ranks that may take a request: those of groups with places left, else those of any open group. */
 function listCandidates(
-  groups: readonly PlaceGroup[],
+  groups: readonly GroupSlots[],
   own: ReadonlyMap<string, number>,
   exclude: readonly string[],
 ): readonly Candidate[] {
   const usable = groups
     .filter(isOpenGroup)
     .filter(({ ranks }) => ranks.some(({ endpoint }) => !exclude.includes(endpoint)));
-  const withPlaces = usable.filter((state) => freeAt(state, own) > 0);
-  return (withPlaces.length > 0 ? withPlaces : usable).flatMap((state) =>
+  const withFreeSlots = usable.filter((state) => freeSlotsAt(state, own) > 0);
+  return (withFreeSlots.length > 0 ? withFreeSlots : usable).flatMap((state) =>
     usableRanks(state, exclude).map((rank) => ({ state, rank })),
   );
 }
@@ -278,7 +278,7 @@
  * the fullest rank has 1.8 times the mean instead of 2.5 (bench `routing`, against a look at all ranks).
  */
 export function chooseRank(
-  groups: readonly PlaceGroup[],
+  groups: readonly GroupSlots[],
   own: ReadonlyMap<string, number>,
   zone: string,
   exclude: readonly string[],
@@ -289,7 +289,7 @@
   const drawn = [...sample(local, LOCAL_SAMPLE, random), ...sample(all, ANY_SAMPLE, random)];
   const scored = drawn.map(({ state, rank }) => ({
     endpoint: rank.endpoint,
-    score: workAt(state, rank, own) + (rank.zone === zone ? 0 : REMOTE_WORK),
+    score: workAt(state, rank, own) + (rank.zone === zone ? 0 : REMOTE_ZONE_PENALTY),
   }));
   const [first] = scored;
   return first === undefined
--- a/src/coordination/RetryBudget.ts
+++ b/src/coordination/RetryBudget.ts
@@ -17,43 +17,43 @@
 
 /** First tries and retries of a service, at the times at which they were sent. */
 export interface RetryBudgetState {
-  readonly firsts: readonly number[];
+  readonly firstAttempts: readonly number[];
   readonly retries: readonly number[];
 }
 
 /** Nothing sent yet. */
-export const EMPTY_RETRY_BUDGET: RetryBudgetState = { firsts: [], retries: [] };
+export const EMPTY_RETRY_BUDGET: RetryBudgetState = { firstAttempts: [], retries: [] };
 
 /** Part of the allowance that is used: windows of the processes don't begin together. */
-const USED_SHARE = 0.8;
+const USABLE_SHARE = 0.8;
 
-function within(times: readonly number[], since: number): readonly number[] {
+function timesAfter(times: readonly number[], since: number): readonly number[] {
   const first = times.findIndex((at) => at > since);
   return first < 0 ? [] : times.slice(first);
 }
 
 /** Counts a first try. */
-export function countFirst(
+export function countFirstAttempt(
   state: RetryBudgetState,
   now: number,
   { windowMs }: RetryAllowance,
 ): RetryBudgetState {
-  return { ...state, firsts: [...within(state.firsts, now - windowMs), now] };
+  return { ...state, firstAttempts: [...timesAfter(state.firstAttempts, now - windowMs), now] };
 }
 
 /** Takes one retry, if the budget allows it. `processes` is 0 while unknown. */
-export function takeRetryOf(
+export function takeRetryWithin(
   state: RetryBudgetState,
   now: number,
   allowance: RetryAllowance,
   processes: number,
 ): { readonly state: RetryBudgetState; readonly allowed: boolean } {
   const since = now - allowance.windowMs;
-  const firsts = within(state.firsts, since);
-  const retries = within(state.retries, since);
+  const firsts = timesAfter(state.firstAttempts, since);
+  const retries = timesAfter(state.retries, since);
   const fixed = processes > 0 ? allowance.extra / processes : 0;
-  const most = USED_SHARE * (allowance.ratio * firsts.length + fixed);
-  return retries.length + 1 > most
-    ? { state: { firsts, retries }, allowed: false }
-    : { state: { firsts, retries: [...retries, now] }, allowed: true };
+  const maxRetries = USABLE_SHARE * (allowance.ratio * firsts.length + fixed);
+  return retries.length + 1 > maxRetries
+    ? { state: { firstAttempts: firsts, retries }, allowed: false }
+    : { state: { firstAttempts: firsts, retries: [...retries, now] }, allowed: true };
 }
--- a/src/coordination/Routing.ts
+++ b/src/coordination/Routing.ts
@@ -28,7 +28,7 @@
 
 /** State of a process that knows no endpoint yet. */
 export function initRouting(zone: string): RoutingState {
-  return { zone, services: new Map(), places: new Map() };
+  return { zone, services: new Map(), positions: new Map() };
 }
 
 /** Key of the service that an endpoint serves. */
@@ -45,15 +45,15 @@
     load: null,
     inFlightAtReport: 0,
     reportedAt: now,
-    since: now,
+    firstSeenAt: now,
     failures: 0,
     ejectedUntil: 0,
   };
 }
 
 function findEndpoint(state: RoutingState, id: string): RoutingEndpoint | undefined {
-  const place = state.places.get(id);
-  return place === undefined ? undefined : state.services.get(place.service)?.[place.at];
+  const position = state.positions.get(id);
+  return position === undefined ? undefined : state.services.get(position.service)?.[position.index];
 }
 
 /** Keeps what is known of an endpoint as long as it is the same incarnation. */
@@ -63,37 +63,37 @@
   now: number,
 ): RoutingState {
   const services = new Map<string, RoutingEndpoint[]>();
-  const places = new Map<string, { service: string; at: number }>();
+  const positions = new Map<string, { service: string; index: number }>();
   records.forEach((record) => {
     if (record.role !== 'endpoint' || record.offer === undefined || record.status !== 'serving') {
       return;
     }
     const known = findEndpoint(state, record.id);
-    const same = known?.record.incarnation === record.incarnation;
+    const isSameIncarnation = known?.record.incarnation === record.incarnation;
     const service = serviceKey(record.offer.fleet, record.offer.service);
     const endpoints = services.get(service) ?? [];
     services.set(service, endpoints);
-    places.set(record.id, { service, at: endpoints.length });
-    endpoints.push(same ? { ...known, record } : freshEndpoint(record, now));
+    positions.set(record.id, { service, index: endpoints.length });
+    endpoints.push(isSameIncarnation ? { ...known, record } : freshEndpoint(record, now));
   });
-  return { ...state, services, places };
+  return { ...state, services, positions };
 }
 
-function change(
+function updateEndpoint(
   state: RoutingState,
   id: string,
   update: (endpoint: RoutingEndpoint) => RoutingEndpoint,
 ): RoutingState {
-  const place = state.places.get(id);
-  const endpoints = place && state.services.get(place.service);
-  if (place === undefined || endpoints === undefined) {
+  const position = state.positions.get(id);
+  const endpoints = position && state.services.get(position.service);
+  if (position === undefined || endpoints === undefined) {
     return state;
   }
-  const next = endpoints.map((endpoint, i) => (i === place.at ? update(endpoint) : endpoint));
-  return { ...state, services: new Map(state.services).set(place.service, next) };
+  const next = endpoints.map((endpoint, i) => (i === position.index ? update(endpoint) : endpoint));
+  return { ...state, services: new Map(state.services).set(position.service, next) };
 }
 
-function afterFailure(endpoint: RoutingEndpoint, now: number): RoutingEndpoint {
+function countFailure(endpoint: RoutingEndpoint, now: number): RoutingEndpoint {
   const failures = endpoint.failures + 1;
   const excess = failures - EJECT_FAILURES;
   const ejectedUntil =
@@ -106,10 +106,10 @@
   { id, result }: Extract<RoutingInput, { type: 'done' }>,
   now: number,
 ): RoutingState {
-  return change(state, id, (endpoint) => {
+  return updateEndpoint(state, id, (endpoint) => {
     const ended = { ...endpoint, inFlight: Math.max(0, endpoint.inFlight - 1) };
     if (result === 'failed') {
-      return afterFailure(ended, now);
+      return countFailure(ended, now);
     }
     return result === 'whole' ? { ...ended, failures: 0, ejectedUntil: 0 } : ended;
   });
@@ -126,10 +126,10 @@
 const HANDLERS: Handlers = {
   members: onMembers,
   sent: (state, { id }) =>
-    change(state, id, (endpoint) => ({ ...endpoint, inFlight: endpoint.inFlight + 1 })),
+    updateEndpoint(state, id, (endpoint) => ({ ...endpoint, inFlight: endpoint.inFlight + 1 })),
   done: onDone,
   report: (state, { id, load }, now) =>
-    change(state, id, (endpoint) => ({
+    updateEndpoint(state, id, (endpoint) => ({
       ...endpoint,
       load,
       slots: Math.max(1, load.slots),
@@ -166,9 +166,9 @@
 }
 
 function scoreEndpoint(state: RoutingState, endpoint: RoutingEndpoint, now: number): number {
-  const warmth = Math.min(1, 0.25 + (now - endpoint.since) / SLOW_START_MS);
+  const warmup = Math.min(1, 0.25 + (now - endpoint.firstSeenAt) / SLOW_START_MS);
   const remote = endpoint.record.zone === state.zone ? 0 : REMOTE_ZONE_COST;
-  return (estimateWork(endpoint, now) + 1) / (endpoint.slots * warmth) + remote;
+  return (estimateWork(endpoint, now) + 1) / (endpoint.slots * warmup) + remote;
 }
 
 interface Usable {
@@ -207,20 +207,20 @@
 }
 
 /** Of the endpoints within a slack of the best, the one that comes first by `weigh`. */
-function pickNear(
+function pickWithinSlack(
   endpoints: readonly RoutingEndpoint[],
   scores: readonly number[],
   limit: number,
-  weigh: (endpoint: RoutingEndpoint) => number,
+  weightOf: (endpoint: RoutingEndpoint) => number,
 ): RoutingEndpoint | null {
   let chosen: RoutingEndpoint | null = null;
   let weight = -1;
   endpoints.forEach((endpoint, i) => {
     if ((scores[i] ?? Infinity) <= limit) {
-      const own = weigh(endpoint);
-      if (own > weight) {
+      const candidateWeight = weightOf(endpoint);
+      if (candidateWeight > weight) {
         chosen = endpoint;
-        weight = own;
+        weight = candidateWeight;
       }
     }
   });
@@ -245,7 +245,7 @@
   const slack = prefix === null ? 0 : AFFINITY_SLACK;
   // Without a prefix the weights are random, which tells equal scores apart.
   const key = prefix ?? uniformInt(rng, 0, MAX_HASH);
-  const chosen = pickNear(endpoints, scores, best.score + slack, ({ hash }) =>
+  const chosen = pickWithinSlack(endpoints, scores, best.score + slack, ({ hash }) =>
     mixHashes(key, hash),
   );
   const reason = prefix === null ? 'least_load' : 'affinity';
--- a/src/coordination/RoutingTypes.ts
+++ b/src/coordination/RoutingTypes.ts
@@ -16,7 +16,7 @@
   /** When the report came, ms. */
   readonly reportedAt: number;
   /** When it was first seen serving in this incarnation, ms. */
-  readonly since: number;
+  readonly firstSeenAt: number;
   /** Failed attempts in a row. */
   readonly failures: number;
   /** Not used before this time, ms, unless nothing else is left. */
@@ -30,7 +30,7 @@
   /** Endpoints by service, `fleet/service`. */
   readonly services: ReadonlyMap<string, readonly RoutingEndpoint[]>;
   /** Where an endpoint stands in `services`. */
-  readonly places: ReadonlyMap<string, { readonly service: string; readonly at: number }>;
+  readonly positions: ReadonlyMap<string, { readonly service: string; readonly index: number }>;
 }
 
 /** A request as routing sees it. */
--- a/src/coordination/StreamQueue.ts
+++ b/src/coordination/StreamQueue.ts
@@ -19,17 +19,17 @@
   readonly objectiveAt: number;
   readonly deadline: number;
   /** Until when its caller waits for a first event, ms. */
-  readonly patientUntil: number;
+  readonly firstEventDeadline: number;
   /** Tokens that its answer may have at most, beyond what its caller has of it. */
   readonly tokens: number;
   /** Tokens that its answer is likely to have, beyond what its caller has of it. */
   readonly likelyTokens: number;
   /** Whether it was refused before, as the time it has left tells. */
-  readonly returned: boolean;
+  readonly isCallerRetry: boolean;
 }
 
 /** What the queue needs to know of the service now. */
-export interface QueueOutlook {
+export interface QueueForecast {
   /** Places free for this process. */
   readonly free: number;
   /** Requests a ms that this process can begin, from what its places turn over. */
@@ -61,20 +61,20 @@
 }
 
 /** Time beyond its expected end that a request must have left: estimates of length are rough. In ms. */
-const MARGIN_MS = 300;
+const DEADLINE_MARGIN_MS = 300;
 
 /**
  * Part of that time over which returns are spread where nothing is begun at all: those that are back wait
  * in order here, so that the spread only keeps their connections from coming in one millisecond.
  */
-const STALLED_SPREAD = 0.03;
+const STALLED_JITTER = 0.03;
 
 /** Part of the time that a caller has left at which it comes back at the latest; a third is honoured. */
-const RETURN_SHARE = 0.333;
+const MAX_RETRY_DELAY_SHARE = 0.333;
 
 /** Whether its first event can still be on time if it is sent now. */
-function isOnTime(request: WaitingRequest, outlook: QueueOutlook, now: number): boolean {
-  return now + outlook.firstMs <= request.objectiveAt;
+function isOnTime(request: WaitingRequest, forecast: QueueForecast, now: number): boolean {
+  return now + forecast.firstMs <= request.objectiveAt;
 }
 
 /**
@@ -83,12 +83,12 @@
  * A caller that came back is late already, has no further try, and has little time left; a new one that
  * gives way to it may still be answered late, or come back itself. Once no queue is left nobody gives way.
  */
-function compare(a: WaitingRequest, b: WaitingRequest, outlook: QueueOutlook, now: number): number {
-  if (a.returned !== b.returned) {
-    return a.returned ? -1 : 1;
+function compareUrgency(a: WaitingRequest, b: WaitingRequest, forecast: QueueForecast, now: number): number {
+  if (a.isCallerRetry !== b.isCallerRetry) {
+    return a.isCallerRetry ? -1 : 1;
   }
-  const onTimeA = isOnTime(a, outlook, now);
-  const onTimeB = isOnTime(b, outlook, now);
+  const onTimeA = isOnTime(a, forecast, now);
+  const onTimeB = isOnTime(b, forecast, now);
   if (onTimeA !== onTimeB) {
     return onTimeA ? -1 : 1;
   }
@@ -106,23 +106,23 @@
  * longest answer that they allow, most are sent away though their answers are short. While the service recovers the
  * likely length counts; otherwise the longest, since whoever is late takes a place from one who is not.
  */
-function canEnd(
+function canFinish(
   request: WaitingRequest,
-  outlook: QueueOutlook,
+  forecast: QueueForecast,
   now: number,
   waitMs: number,
 ): boolean {
-  if (outlook.isLongDown) {
+  if (forecast.isLongDown) {
     return false;
   }
-  const first = now + waitMs + outlook.firstMs;
-  const tokens = outlook.isRecovering ? request.likelyTokens : request.tokens;
-  const end = first + outlook.writeMs(tokens);
-  return first <= request.patientUntil && end + MARGIN_MS <= request.deadline;
+  const first = now + waitMs + forecast.firstMs;
+  const tokens = forecast.isRecovering ? request.likelyTokens : request.tokens;
+  const end = first + forecast.writeMs(tokens);
+  return first <= request.firstEventDeadline && end + DEADLINE_MARGIN_MS <= request.deadline;
 }
 
 /** Expected wait behind so many others, ms. */
-function waitBehind(ahead: number, { free, ratePerMs }: QueueOutlook): number {
+function expectedWaitMs(ahead: number, { free, ratePerMs }: QueueForecast): number {
   const blocked = Math.max(0, ahead + 1 - free);
   return blocked === 0 ? 0 : blocked / Math.max(ratePerMs, 1e-6);
 }
@@ -132,36 +132,36 @@
  * and while it still has time for an answer. Where nothing is begun at all nobody knows when that will
  * be, and the later a caller comes back, the likelier the service serves again.
  */
-export function returnAfter(
+export function retryDelayMs(
   leftMs: number,
   waiting: number,
-  outlook: QueueOutlook,
+  forecast: QueueForecast,
   random: number,
 ): number {
-  const latest = Math.max(50, leftMs * RETURN_SHARE);
-  if (outlook.ratePerMs === 0) {
-    return latest * (1 - STALLED_SPREAD * random);
+  const latest = Math.max(50, leftMs * MAX_RETRY_DELAY_SHARE);
+  if (forecast.ratePerMs === 0) {
+    return latest * (1 - STALLED_JITTER * random);
   }
-  return Math.min(latest, 100 + waitBehind(waiting, outlook) * (0.5 + random));
+  return Math.min(latest, 100 + expectedWaitMs(waiting, forecast) * (0.5 + random));
 }
 
 /** Begins what there are places for, and refuses what can't be answered any more. */
-export function pump(
+export function admitWaiting(
   queue: StreamQueue,
-  outlook: QueueOutlook,
+  forecast: QueueForecast,
   now: number,
   random: number,
 ): QueueStep {
-  const hopeless = queue.filter((request) => !canEnd(request, outlook, now, 0));
-  const hopeful = queue.filter((request) => !hopeless.includes(request));
-  const order = [...hopeful].sort((a, b) => compare(a, b, outlook, now));
-  const admitted = order.slice(0, Math.max(0, Math.floor(outlook.free)));
+  const unservable = queue.filter((request) => !canFinish(request, forecast, now, 0));
+  const servable = queue.filter((request) => !unservable.includes(request));
+  const order = [...servable].sort((a, b) => compareUrgency(a, b, forecast, now));
+  const admitted = order.slice(0, Math.max(0, Math.floor(forecast.free)));
   return {
-    queue: hopeful.filter((request) => !admitted.includes(request)),
+    queue: servable.filter((request) => !admitted.includes(request)),
     admitted: admitted.map(({ id }) => id),
-    refused: hopeless.map((request) => ({
+    refused: unservable.map((request) => ({
       id: request.id,
-      retryAfterMs: returnAfter(request.deadline - now, queue.length, outlook, random),
+      retryAfterMs: retryDelayMs(request.deadline - now, queue.length, forecast, random),
     })),
   };
 }
@@ -177,17 +177,17 @@
 export function enqueue(
   queue: StreamQueue,
   request: WaitingRequest,
-  outlook: QueueOutlook,
+  forecast: QueueForecast,
   now: number,
   random: number,
 ): QueueStep {
-  const ahead = queue.filter((other) => compare(other, request, outlook, now) <= 0).length;
-  const expected = waitBehind(ahead, outlook);
+  const ahead = queue.filter((other) => compareUrgency(other, request, forecast, now) <= 0).length;
+  const expected = expectedWaitMs(ahead, forecast);
   // Who came back has no further try: it waits for what may come, within its own bound.
-  const waitMs = request.returned || outlook.ratePerMs === 0 ? 0 : expected;
-  if (!canEnd(request, outlook, now, waitMs)) {
-    const retryAfterMs = returnAfter(request.deadline - now, queue.length, outlook, random);
+  const waitMs = request.isCallerRetry || forecast.ratePerMs === 0 ? 0 : expected;
+  if (!canFinish(request, forecast, now, waitMs)) {
+    const retryAfterMs = retryDelayMs(request.deadline - now, queue.length, forecast, random);
     return { queue, admitted: [], refused: [{ id: request.id, retryAfterMs }] };
   }
-  return pump([...queue, request], outlook, now, random);
+  return admitWaiting([...queue, request], forecast, now, random);
 }
--- a/src/coordination/Subset.ts
+++ b/src/coordination/Subset.ts
@@ -6,10 +6,10 @@
 import { hashText, rendezvousOrder } from './RoutingHash.js';
 
 /** Endpoints of a service in the own AZ. More than this add connections and no choice. */
-export const SUBSET_OWN = 32;
+export const OWN_ZONE_SUBSET_SIZE = 32;
 
 /** Endpoints of a service in other AZs. */
-export const SUBSET_REMOTE = 8;
+export const REMOTE_ZONE_SUBSET_SIZE = 8;
 
 /** Who chooses, and the entry processes of its AZ, itself included. */
 export interface SubsetSelf {
@@ -24,7 +24,7 @@
  * "Site Reliability Engineering", 2016, chapter 20). Rendezvous hashing alone leaves some endpoints
  * with half the entry processes of others, which shows as load; figures in docs/design/scale.md.
  */
-export function dealSubset(
+export function deterministicSubset(
   ids: readonly string[],
   entries: readonly string[],
   self: string,
@@ -34,10 +34,10 @@
     return ids;
   }
   const slices = Math.floor(ids.length / size);
-  const place = Math.max(0, [...entries].sort().indexOf(self));
-  const round = Math.floor(place / slices);
+  const position = Math.max(0, [...entries].sort().indexOf(self));
+  const round = Math.floor(position / slices);
   const shuffled = rendezvousOrder(hashText(`round ${round}`), ids);
-  const slice = place % slices;
+  const slice = position % slices;
   // Slices of equal parts, so that no id is left over in a round.
   const bound = (i: number): number => Math.floor((i * ids.length) / slices);
   return shuffled.slice(bound(slice), bound(slice + 1));
@@ -55,13 +55,13 @@
   const own = idsOf(records.filter((record) => record.zone === zone));
   const remote = idsOf(records.filter((record) => record.zone !== zone));
   return new Set([
-    ...dealSubset(own, entries, id, SUBSET_OWN),
-    ...dealSubset(remote, entries, id, SUBSET_REMOTE),
+    ...deterministicSubset(own, entries, id, OWN_ZONE_SUBSET_SIZE),
+    ...deterministicSubset(remote, entries, id, REMOTE_ZONE_SUBSET_SIZE),
   ]);
 }
 
 /** Keeps, of all endpoints, each service's subset. */
-export function keepSubsets(
+export function filterToSubsets(
   records: readonly MemberRecord[],
   self: SubsetSelf,
 ): readonly MemberRecord[] {
--- a/src/coordination/__tests__/unit/DirectAttempts.test.ts
+++ b/src/coordination/__tests__/unit/DirectAttempts.test.ts
@@ -4,13 +4,13 @@
 
 const FIRST: DirectProgress = {
   repeatable: false,
-  sends: 1,
+  sendCount: 1,
   maxSends: 2,
   mayHaveRun: false,
-  begun: false,
+  responseStarted: false,
   canResume: false,
-  isClosed: false,
-  leftMs: 5_000,
+  isServiceDown: false,
+  remainingMs: 5_000,
 };
 
 const ALL: readonly DirectFailure[] = ['unsent', 'notRun', 'lost', 'failed', 'broken'];
@@ -29,14 +29,14 @@
 
   it('sends on what was not run, within the attempts allowed', () => {
     assert.equal(judge('notRun', {}), 'retry');
-    assert.equal(judge('notRun', { sends: 2 }), 'refuse');
+    assert.equal(judge('notRun', { sendCount: 2 }), 'refuse');
     assert.equal(judge('notRun', { maxSends: 1 }), 'refuse');
   });
 
   it('sends repeatable calls again, also after a failure of the endpoint', () => {
     assert.equal(judge('failed', { repeatable: true }), 'retry');
     assert.equal(judge('lost', { repeatable: true, mayHaveRun: true }), 'retry');
-    assert.equal(judge('failed', { repeatable: true, sends: 2 }), 'pass');
+    assert.equal(judge('failed', { repeatable: true, sendCount: 2 }), 'pass');
     assert.equal(judge('failed', {}), 'pass');
   });
 
@@ -44,15 +44,15 @@
   // even a later clean refusal of another endpoint makes it true.
   it('never says that a call has not run once an attempt may have', () => {
     ALL.filter((failure) => failure !== 'failed').forEach((failure) => {
-      const verdict = judge(failure, { mayHaveRun: true, sends: 2, leftMs: 10 });
+      const verdict = judge(failure, { mayHaveRun: true, sendCount: 2, remainingMs: 10 });
       assert.equal(verdict, 'fail', failure);
     });
   });
 
   it('resumes a stream that has begun, or cuts it', () => {
-    assert.equal(judge('broken', { begun: true, canResume: true, repeatable: true }), 'retry');
-    assert.equal(judge('broken', { begun: true, canResume: false, repeatable: true }), 'cut');
-    assert.equal(judge('broken', { begun: true, canResume: true, repeatable: true }, false), 'cut');
+    assert.equal(judge('broken', { responseStarted: true, canResume: true, repeatable: true }), 'retry');
+    assert.equal(judge('broken', { responseStarted: true, canResume: false, repeatable: true }), 'cut');
+    assert.equal(judge('broken', { responseStarted: true, canResume: true, repeatable: true }, false), 'cut');
   });
 
   it('asks the budget only where a retry would follow, and never for what was not sent', () => {
@@ -74,17 +74,17 @@
     const unasked = (): boolean => assert.fail('the budget was asked');
     const closed = { ...FIRST, isClosed: true };
     assert.equal(judgeFailure('notRun', closed, 0, unasked), 'wait');
-    assert.equal(judge('notRun', { isClosed: true, sends: 2 }), 'refuse');
-    assert.equal(judge('lost', { isClosed: true, mayHaveRun: true }), 'fail');
-    assert.equal(judge('notRun', { isClosed: true, mayHaveRun: true, sends: 2 }), 'fail');
-    assert.equal(judge('broken', { isClosed: true, begun: true }), 'cut');
+    assert.equal(judge('notRun', { isServiceDown: true, sendCount: 2 }), 'refuse');
+    assert.equal(judge('lost', { isServiceDown: true, mayHaveRun: true }), 'fail');
+    assert.equal(judge('notRun', { isServiceDown: true, mayHaveRun: true, sendCount: 2 }), 'fail');
+    assert.equal(judge('broken', { isServiceDown: true, responseStarted: true }), 'cut');
     const repeatable = { isClosed: true, mayHaveRun: true, repeatable: true };
     assert.equal(judge('lost', repeatable), 'wait');
-    assert.equal(judge('lost', { ...repeatable, sends: 2 }), 'fail');
+    assert.equal(judge('lost', { ...repeatable, sendCount: 2 }), 'fail');
     assert.equal(judge('failed', repeatable), 'retry');
   });
 
   it('does not try without time left', () => {
-    assert.equal(judge('notRun', { leftMs: 20 }), 'refuse');
+    assert.equal(judge('notRun', { remainingMs: 20 }), 'refuse');
   });
 });
--- a/src/coordination/__tests__/unit/EndpointLimits.test.ts
+++ b/src/coordination/__tests__/unit/EndpointLimits.test.ts
@@ -4,38 +4,38 @@
 import type { LimitRecord, NamedLimit } from '../../../protocol/index.js';
 import {
   clockOf,
-  forgetLimits,
+  dropExpiredLimits,
   hashLimits,
-  LIMIT_MS,
+  LIMIT_TTL_MS,
   mergeLimits,
-  MOST_LIMITS,
+  MAX_LIMITS,
   NO_LIMITS,
-  takeNamedLimit,
-  writeLimits,
+  applyAdvertisedLimit,
+  toLimitUpdates,
   type LimitsState,
 } from '../../EndpointLimits.js';
 
 const SEED = 45;
 
-const LIFE = 'i-1@1';
+const INCARNATION_KEY = 'i-1@1';
 
 function limitOf(state: LimitsState): number | null {
-  return state.get(LIFE)?.perSecond ?? null;
+  return state.get(INCARNATION_KEY)?.perSecond ?? null;
 }
 
 /** An answer whose request was sent just now, by a process that knew all that it knows. */
 function name(state: LimitsState, limit: NamedLimit, now: number): LimitsState {
-  const sent = { clock: clockOf(state, LIFE), at: now };
-  return takeNamedLimit(state, LIFE, sent, limit, now).state;
+  const sent = { clock: clockOf(state, INCARNATION_KEY), at: now };
+  return applyAdvertisedLimit(state, INCARNATION_KEY, sent, limit, now).state;
 }
 
 function merge(state: LimitsState, record: Partial<LimitRecord>, now: number): LimitsState {
-  const records = [{ life: LIFE, clock: 1, perSecond: 1, ageMs: 0, ...record }];
+  const records = [{ life: INCARNATION_KEY, clock: 1, perSecond: 1, ageMs: 0, ...record }];
   return mergeLimits(state, { records, hash: 0 }, now).state;
 }
 
 function wholeOf(state: LimitsState, now: number) {
-  const records = writeLimits(state, [...state.values()], now).flatMap((news) => news.records);
+  const records = toLimitUpdates(state, [...state.values()], now).flatMap((news) => news.records);
   return { records, hash: hashLimits(state) };
 }
 
@@ -55,10 +55,10 @@
   it('are not ended by an answer to a request that was sent before they were named', () => {
     const sent = { clock: 0, at: 0 };
     const state = name(NO_LIMITS, 1, 10);
-    const late = takeNamedLimit(state, LIFE, sent, 'none', 20);
+    const late = applyAdvertisedLimit(state, INCARNATION_KEY, sent, 'none', 20);
     assert.equal(limitOf(late.state), 1);
     const again = name(state, 1, 40);
-    const older = takeNamedLimit(again, LIFE, { clock: 1, at: 30 }, 'none', 50);
+    const older = applyAdvertisedLimit(again, INCARNATION_KEY, { clock: 1, at: 30 }, 'none', 50);
     assert.equal(limitOf(older.state), 1);
   });
 
@@ -66,8 +66,8 @@
   it('are only made stricter by what is not proven to be later', () => {
     const state = name(name(NO_LIMITS, 8, 0), 2, 20);
     const sent = { clock: 1, at: 10 };
-    assert.equal(limitOf(takeNamedLimit(state, LIFE, sent, 8, 30).state), 2);
-    assert.equal(limitOf(takeNamedLimit(state, LIFE, sent, 1, 30).state), 1);
+    assert.equal(limitOf(applyAdvertisedLimit(state, INCARNATION_KEY, sent, 8, 30).state), 2);
+    assert.equal(limitOf(applyAdvertisedLimit(state, INCARNATION_KEY, sent, 1, 30).state), 1);
   });
 
   // Guards against: news that was held up by a frozen process brings a state back that is over.
@@ -87,22 +87,22 @@
 
   it('are confirmed at an interval, so that those in force are not forgotten', () => {
     let state = name(NO_LIMITS, 1, 0);
-    for (let now = 1_000; now <= LIMIT_MS * 2; now += 1_000) {
-      state = forgetLimits(name(state, 1, now), now);
+    for (let now = 1_000; now <= LIMIT_TTL_MS * 2; now += 1_000) {
+      state = dropExpiredLimits(name(state, 1, now), now);
     }
     assert.equal(limitOf(state), 1);
-    assert.ok(clockOf(state, LIFE) < LIMIT_MS / 1_000 / 10);
-    assert.equal(limitOf(forgetLimits(state, LIMIT_MS * 4)), null);
+    assert.ok(clockOf(state, INCARNATION_KEY) < LIMIT_TTL_MS / 1_000 / 10);
+    assert.equal(limitOf(dropExpiredLimits(state, LIMIT_TTL_MS * 4)), null);
   });
 
   it('are kept of so many endpoints and no more', () => {
-    const records = Array.from({ length: MOST_LIMITS + 10 }, (_item, i) => ({
+    const records = Array.from({ length: MAX_LIMITS + 10 }, (_item, i) => ({
       life: `i-${i}@1`,
       clock: 1,
       perSecond: 1,
       ageMs: 0,
     }));
-    assert.equal(mergeLimits(NO_LIMITS, { records, hash: 0 }, 0).state.size, MOST_LIMITS);
+    assert.equal(mergeLimits(NO_LIMITS, { records, hash: 0 }, 0).state.size, MAX_LIMITS);
   });
 
   // Guards against: processes that have heard the same, in another order or twice, hold different limits.
--- a/src/coordination/__tests__/unit/EndpointRefusals.test.ts
+++ b/src/coordination/__tests__/unit/EndpointRefusals.test.ts
@@ -3,10 +3,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { MemberRecord } from '../../../protocol/index.js';
 import {
-  dropRefusals,
-  endRefusals,
-  refusingNow,
-  takeRefusal,
+  dropExpiredRefusals,
+  clearRefusals,
+  refusingEndpoints,
+  recordRefusal,
   type EndpointRefusals,
 } from '../../EndpointRefusals.js';
 import { initRouting, routeRequest, updateRouting } from '../../Routing.js';
@@ -18,8 +18,8 @@
   const met: number[] = [];
   let refusals = NONE;
   for (let now = 0; now < ms; now += 1) {
-    if (refusingNow(refusals, now).length === 0) {
-      refusals = takeRefusal(refusals, 'a', now);
+    if (refusingEndpoints(refusals, now).length === 0) {
+      refusals = recordRefusal(refusals, 'a', now);
       met.push(now);
     }
   }
@@ -84,13 +84,13 @@
       .filter(({ until }) => until <= now)
       .forEach(({ id }) => {
         this.#state = updateRouting(this.#state, { type: 'done', id, result: 'whole' }, now);
-        this.#refusals = endRefusals(this.#refusals, id);
+        this.#refusals = clearRefusals(this.#refusals, id);
       });
     this.#working = this.#working.filter(({ until }) => until > now);
   }
 
   #send(tried: readonly string[], now: number): string {
-    const passedOver = this.#usesRefusals ? refusingNow(this.#refusals, now) : [];
+    const passedOver = this.#usesRefusals ? refusingEndpoints(this.#refusals, now) : [];
     const req = { service: 'f/s', prefix: null, exclude: [...tried, ...passedOver] };
     const id = routeRequest(this.#state, req, now, this.#rng).endpoint?.id ?? '';
     this.#sends += 1;
@@ -98,7 +98,7 @@
     if (REFUSING.includes(id)) {
       this.#refused += 1;
       this.#state = updateRouting(this.#state, { type: 'done', id, result: 'refused' }, now);
-      this.#refusals = takeRefusal(this.#refusals, id, now);
+      this.#refusals = recordRefusal(this.#refusals, id, now);
     } else {
       this.#working = [...this.#working, { id, until: now + CALL_MS }];
     }
@@ -127,18 +127,18 @@
   });
 
   it('count once where several come of requests that were on their way together', () => {
-    const first = takeRefusal(NONE, 'a', 0);
-    assert.equal(takeRefusal(first, 'a', 50), first);
+    const first = recordRefusal(NONE, 'a', 0);
+    assert.equal(recordRefusal(first, 'a', 50), first);
   });
 
   it('end with a whole answer, and are forgotten with time', () => {
-    const two = takeRefusal(takeRefusal(NONE, 'a', 0), 'b', 0);
-    assert.deepEqual(refusingNow(two, 99), ['a', 'b']);
-    assert.deepEqual(refusingNow(endRefusals(two, 'a'), 99), ['b']);
-    assert.equal(endRefusals(two, 'c'), two);
-    assert.equal(dropRefusals(two, 1_999), two);
-    assert.equal(dropRefusals(two, 2_000).size, 0);
-    const again = takeRefusal(two, 'a', 2_500);
+    const two = recordRefusal(recordRefusal(NONE, 'a', 0), 'b', 0);
+    assert.deepEqual(refusingEndpoints(two, 99), ['a', 'b']);
+    assert.deepEqual(refusingEndpoints(clearRefusals(two, 'a'), 99), ['b']);
+    assert.equal(clearRefusals(two, 'c'), two);
+    assert.equal(dropExpiredRefusals(two, 1_999), two);
+    assert.equal(dropExpiredRefusals(two, 2_000).size, 0);
+    const again = recordRefusal(two, 'a', 2_500);
     assert.equal(again.get('a')?.until, 2_600);
   });
 });
--- a/src/coordination/__tests__/unit/Gate.test.ts
+++ b/src/coordination/__tests__/unit/Gate.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { initGate, REMEMBER_MS, stepGate, type GateInput, type GateState } from '../../index.js';
+import { initGate, CLOSED_ATTEMPT_TTL_MS, stepGate, type GateInput, type GateState } from '../../index.js';
 
 const attempt = (key: string, target = 1): GateInput => ({
   type: 'attempt',
@@ -70,7 +70,7 @@
 
   it('forgets what ended longer ago than any message can be late', () => {
     const { state } = run([{ type: 'ready' }, attempt('r#1'), { type: 'ended', key: 'r#1' }]);
-    assert.equal(stepGate(state, { type: 'tick' }, REMEMBER_MS).state.closed.size, 1);
-    assert.equal(stepGate(state, { type: 'tick' }, REMEMBER_MS + 1).state.closed.size, 0);
+    assert.equal(stepGate(state, { type: 'tick' }, CLOSED_ATTEMPT_TTL_MS).state.closed.size, 1);
+    assert.equal(stepGate(state, { type: 'tick' }, CLOSED_ATTEMPT_TTL_MS + 1).state.closed.size, 0);
   });
 });
--- a/src/coordination/__tests__/unit/Places.test.ts
+++ b/src/coordination/__tests__/unit/GroupSlots.test.ts
@@ -4,16 +4,16 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { EngineCosts, GroupLoad } from '../../../protocol/index.js';
 import {
-  agePlaces,
-  breakPlaces,
+  dropStaleLoad,
+  markGroupBroken,
   chooseRank,
-  freeAt,
-  initPlaces,
+  freeSlotsAt,
+  initGroupSlots,
   isOpenGroup,
-  LOAD_VALID_MS,
+  LOAD_TTL_MS,
   passTime,
-  takeLoad,
-  type PlaceRules,
+  applyGroupLoad,
+  type SlotParameters,
 } from '../../index.js';
 
 const COSTS: EngineCosts = {
@@ -33,7 +33,7 @@
   usualAnswer: 139,
 };
 
-const RULES: PlaceRules = { costs: COSTS, pauseMs: 120, entryHosts: 6 };
+const RULES: SlotParameters = { costs: COSTS, pauseMs: 120, entryHosts: 6 };
 
 const RANKS = Array.from({ length: 12 }, (_item, rank) => ({
   endpoint: `e${rank}`,
@@ -54,17 +54,17 @@
 
 const NONE: ReadonlyMap<string, number> = new Map();
 
-const START = initPlaces('g', RANKS, RULES);
+const START = initGroupSlots('g', RANKS, RULES);
 
 /** What each of six processes may take, if each runs an even part. */
 function freeForEach(each: number, passMs: number | null, open = true): number {
   const own = new Map(RANKS.map(({ endpoint }) => [endpoint, each / 6]));
-  return freeAt(takeLoad(START, load(each, passMs, open), own, RULES, 0, 0), own);
+  return freeSlotsAt(applyGroupLoad(START, load(each, passMs, open), own, RULES, 0, 0), own);
 }
 
 describe('Places', () => {
   it('gives each process an even part of all places before a load is known', () => {
-    assert.equal(freeAt(START, NONE), 16);
+    assert.equal(freeSlotsAt(START, NONE), 16);
   });
 
   // Six processes see the same free places in reports a quarter of a second old. Were each to take them
@@ -87,9 +87,9 @@
   });
 
   it('forgets a load that is too old', () => {
-    const full = takeLoad(START, load(8, 60), NONE, RULES, 0, 0);
-    assert.equal(agePlaces(full, RULES, LOAD_VALID_MS), full);
-    assert.equal(freeAt(agePlaces(full, RULES, LOAD_VALID_MS + 1), NONE), 16);
+    const full = applyGroupLoad(START, load(8, 60), NONE, RULES, 0, 0);
+    assert.equal(dropStaleLoad(full, RULES, LOAD_TTL_MS), full);
+    assert.equal(freeSlotsAt(dropStaleLoad(full, RULES, LOAD_TTL_MS + 1), NONE), 16);
   });
 
   /** How often each endpoint is chosen in 1,200 draws, with the same own work before each. */
@@ -97,7 +97,7 @@
     own: ReadonlyMap<string, number>,
     exclude: readonly string[],
   ): ReadonlyMap<string, number> {
-    const state = takeLoad(START, load(2, 50), own, RULES, 0, 0);
+    const state = applyGroupLoad(START, load(2, 50), own, RULES, 0, 0);
     const rng = xoroshiro128plus(7);
     const counts = new Map<string, number>();
     for (let i = 0; i < 1_200; i += 1) {
@@ -126,14 +126,14 @@
   // Reports lag: a rank that looked idle has been sent work by this process since. Only what it runs
   // itself is known at once, so that counts in full.
   it('counts own work at once', () => {
-    const state = takeLoad(START, load(0, 40), NONE, RULES, 0, 0);
+    const state = applyGroupLoad(START, load(0, 40), NONE, RULES, 0, 0);
     const rng = xoroshiro128plus(7);
     const own = new Map<string, number>();
     for (let i = 0; i < 24; i += 1) {
       const endpoint = chooseRank([state], own, 'z0', [], () => uniformFloat64(rng)) ?? '';
       own.set(endpoint, (own.get(endpoint) ?? 0) + 1);
     }
-    const other = takeLoad(START, load(0, 40), NONE, RULES, 0, 0);
+    const other = applyGroupLoad(START, load(0, 40), NONE, RULES, 0, 0);
     const full = new Map(RANKS.slice(1).map(({ endpoint }) => [endpoint, 9]));
     // Sampled in the own AZ half of the time or more, and never passed over then.
     const chosen = Array.from({ length: 100 }, () =>
@@ -148,7 +148,7 @@
   // longer than the longest pause, and every stream late.
   it('offers fewer places while the map in use is uneven', () => {
     const offered = (skew: number): number =>
-      takeLoad(START, { ...load(0, null), skew }, NONE, RULES, 0, 0).limit;
+      applyGroupLoad(START, { ...load(0, null), skew }, NONE, RULES, 0, 0).limit;
     assert.equal(offered(1), RANKS.length * COSTS.slots);
     const uneven = offered(6);
     assert.ok(uneven < RANKS.length * COSTS.slots);
@@ -158,12 +158,12 @@
   // A group's coordinator is lost together with one of its ranks. No load comes any more, and a rank says
   // that the group is broken. Requests must not be sent there once the last load has grown old.
   it('keeps a broken group closed though its load grows old, for a while', () => {
-    const open = takeLoad(START, load(2, 45), NONE, RULES, 0, 0);
-    const broken = breakPlaces(open, 1_400);
-    const aged = (now: number): boolean => isOpenGroup(agePlaces(broken, RULES, now));
+    const open = applyGroupLoad(START, load(2, 45), NONE, RULES, 0, 0);
+    const broken = markGroupBroken(open, 1_400);
+    const aged = (now: number): boolean => isOpenGroup(dropStaleLoad(broken, RULES, now));
     assert.deepEqual([1_400, 1_600, 2_800, 3_000].map(aged), [false, false, false, true]);
-    assert.equal(isOpenGroup(agePlaces(breakPlaces(START, 0), RULES, 1_000)), false);
-    assert.equal(isOpenGroup(agePlaces(breakPlaces(START, 0), RULES, 1_600)), true);
-    assert.equal(isOpenGroup(takeLoad(broken, load(0, null), NONE, RULES, 1_500, 0)), true);
+    assert.equal(isOpenGroup(dropStaleLoad(markGroupBroken(START, 0), RULES, 1_000)), false);
+    assert.equal(isOpenGroup(dropStaleLoad(markGroupBroken(START, 0), RULES, 1_600)), true);
+    assert.equal(isOpenGroup(applyGroupLoad(broken, load(0, null), NONE, RULES, 1_500, 0)), true);
   });
 });
--- a/src/coordination/__tests__/unit/LimitShare.test.ts
+++ b/src/coordination/__tests__/unit/LimitShare.test.ts
@@ -2,24 +2,24 @@
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import {
-  adjustPace,
-  HOST_LINGER_MS,
-  intervalOf,
-  paceWait,
+  updateInterval,
+  FORMER_HOST_TTL_MS,
+  sendIntervalOf,
+  sendWaitMs,
   sendersTo,
-  takeTurn,
+  reserveSendSlot,
   updateHosts,
 } from '../../LimitShare.js';
-import { allowedArrivals, playLimits, type LimitsShape } from '../utils/LimitsModel.js';
+import { allowedArrivals, simulateLimits, type LimitsScenario } from '../utils/LimitsModel.js';
 
 const SEED = 45;
 
-const SHAPE: LimitsShape = {
-  way: 'senders',
+const SHAPE: LimitsScenario = {
+  strategy: 'senders',
   hosts: 60,
   perSecond: 1,
   demand: 60,
-  atFirst: 0,
+  firstHostShare: 0,
   lengthMs: 200_000,
   partition: [0, 0],
   joinsAt: 0,
@@ -33,11 +33,11 @@
   // Guards against: hosts that each keep a limit send together more than it allows, whatever their number.
   it('keep any limit over all hosts, through delays, a partition and a host that joins', () => {
     const shapes = fc.record({
-      way: fc.constant<'senders'>('senders'),
+      strategy: fc.constant<'senders'>('senders'),
       hosts: fc.integer({ min: 1, max: 60 }),
       perSecond: fc.constantFrom(0, 0.2, 0.5, 1, 3, 10, 100),
       demand: fc.integer({ min: 1, max: 200 }),
-      atFirst: fc.constantFrom(0, 0.3, 1),
+      firstHostShare: fc.constantFrom(0, 0.3, 1),
       lengthMs: fc.constant(20_000),
       partition: fc
         .tuple(fc.integer({ min: 0, max: 15_000 }), fc.integer({ min: 0, max: 8_000 }))
@@ -46,8 +46,8 @@
     });
     fc.assert(
       fc.property(shapes, fc.integer({ min: 1, max: 1_000_000 }), (shape, seed) => {
-        const { most } = playLimits(shape, seed);
-        assert.ok(most <= allowedArrivals(shape.perSecond), `${most} in a window`);
+        const { maxArrivals } = simulateLimits(shape, seed);
+        assert.ok(maxArrivals <= allowedArrivals(shape.perSecond), `${maxArrivals} in a window`);
       }),
       { seed: SEED, numRuns: 150 },
     );
@@ -55,7 +55,7 @@
 
   // Guards against: a check that would pass whatever the hosts did.
   it('are told from hosts that each keep the limit, and from an even part for each of many', () => {
-    const most = (way: LimitsShape['way']): number => playLimits({ ...SHAPE, way }, SEED).most;
+    const most = (strategy: LimitsScenario['strategy']): number => simulateLimits({ ...SHAPE, strategy }, SEED).maxArrivals;
     const allowed = allowedArrivals(SHAPE.perSecond);
     assert.ok(most('alone') > allowed);
     assert.ok(most('even') > allowed);
@@ -64,7 +64,7 @@
 
   // Guards against: so much is held back that an endpoint gets next to nothing of what it would take.
   it('leave an endpoint most of its limit where there is demand for it', () => {
-    const { perSecond } = playLimits(SHAPE, SEED);
+    const { perSecond } = simulateLimits(SHAPE, SEED);
     assert.ok(perSecond > SHAPE.perSecond / 2, `${perSecond} a second`);
   });
 
@@ -77,7 +77,7 @@
 
   it('of senders add up to the limit, and others have none', () => {
     const hosts = hostsOf(30);
-    const rates = hosts.map((self) => 1_000 / intervalOf(self, 'i-1@1', 2, hosts));
+    const rates = hosts.map((self) => 1_000 / sendIntervalOf(self, 'i-1@1', 2, hosts));
     assert.ok(Math.abs(rates.reduce((a, b) => a + b, 0) - 2) < 1e-9);
     assert.equal(rates.filter((rate) => rate === 0).length, 23);
   });
@@ -86,27 +86,27 @@
   it('count a host for a while after it was last a member', () => {
     const before = updateHosts(new Map(), ['a', 'b'], 0);
     // Nothing changes for long: members are told of only when they change.
-    const leftAt = HOST_LINGER_MS * 3;
+    const leftAt = FORMER_HOST_TTL_MS * 3;
     const after = updateHosts(before, ['a'], leftAt);
     assert.deepEqual([...after.keys()], ['a', 'b']);
     const later = (ms: number): readonly string[] => [
       ...updateHosts(after, ['a'], leftAt + ms).keys(),
     ];
-    assert.deepEqual(later(HOST_LINGER_MS), ['a', 'b']);
-    assert.deepEqual(later(HOST_LINGER_MS + 1), ['a']);
+    assert.deepEqual(later(FORMER_HOST_TTL_MS), ['a', 'b']);
+    assert.deepEqual(later(FORMER_HOST_TTL_MS + 1), ['a']);
   });
 
   it('let one request through an interval, and turns wait for each other', () => {
-    const pace = adjustPace(undefined, 1_000, 0);
-    assert.equal(paceWait(pace, 0), 1_000);
-    assert.equal(paceWait(pace, 1_500), 0);
-    const first = takeTurn(pace, 1_500);
-    assert.equal(paceWait(first, 1_500), 1_000);
-    const second = takeTurn(first, 1_500);
-    assert.equal(paceWait(second, 1_500), 2_000);
-    assert.equal(paceWait(adjustPace(second, 4_000, 1_500), 1_500), 5_000);
-    const ended = adjustPace(second, Infinity, 2_000);
-    assert.equal(paceWait(ended, 1e9), Infinity);
-    assert.equal(paceWait(adjustPace(ended, 1_000, 3_000), 3_000), 1_000);
+    const rate = updateInterval(undefined, 1_000, 0);
+    assert.equal(sendWaitMs(rate, 0), 1_000);
+    assert.equal(sendWaitMs(rate, 1_500), 0);
+    const first = reserveSendSlot(rate, 1_500);
+    assert.equal(sendWaitMs(first, 1_500), 1_000);
+    const second = reserveSendSlot(first, 1_500);
+    assert.equal(sendWaitMs(second, 1_500), 2_000);
+    assert.equal(sendWaitMs(updateInterval(second, 4_000, 1_500), 1_500), 5_000);
+    const ended = updateInterval(second, Infinity, 2_000);
+    assert.equal(sendWaitMs(ended, 1e9), Infinity);
+    assert.equal(sendWaitMs(updateInterval(ended, 1_000, 3_000), 3_000), 1_000);
   });
 });
--- a/src/coordination/__tests__/unit/Quarantine.test.ts
+++ b/src/coordination/__tests__/unit/Quarantine.test.ts
@@ -15,7 +15,7 @@
   toQuarantineUpdates,
   type QuarantineState,
 } from '../../Quarantine.js';
-import { rememberAnswer, wasAnswered, type RecentAnswers } from '../../RecentAnswers.js';
+import { rememberAnswer, wasRecentlyAnswered, type RecentAnswers } from '../../RecentAnswers.js';
 
 const SEED = 37;
 
@@ -176,9 +176,9 @@
 
   it('are known for a while', () => {
     const answers = rememberAnswer([], ask('/a'), 0);
-    assert.ok(wasAnswered(answers, ask('/a'), 29_999));
-    assert.ok(!wasAnswered(answers, ask('/a'), 30_000));
-    assert.ok(!wasAnswered(answers, ask('/b'), 0));
+    assert.ok(wasRecentlyAnswered(answers, ask('/a'), 29_999));
+    assert.ok(!wasRecentlyAnswered(answers, ask('/a'), 30_000));
+    assert.ok(!wasRecentlyAnswered(answers, ask('/b'), 0));
   });
 
   it('are remembered within bounds of number and bytes', () => {
--- a/src/coordination/__tests__/unit/RetryBudget.test.ts
+++ b/src/coordination/__tests__/unit/RetryBudget.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import {
-  countFirst,
+  countFirstAttempt,
   EMPTY_RETRY_BUDGET,
-  takeRetryOf,
+  takeRetryWithin,
   type RetryAllowance,
   type RetryBudgetState,
 } from '../../index.js';
@@ -15,7 +15,7 @@
   let left = state;
   let taken = 0;
   for (let i = 0; i < 1_000; i += 1) {
-    const next = takeRetryOf(left, now, ALLOWANCE, processes);
+    const next = takeRetryWithin(left, now, ALLOWANCE, processes);
     left = next.state;
     taken += Number(next.allowed);
   }
@@ -36,7 +36,7 @@
   it('forgets first tries that left the window', () => {
     let state = EMPTY_RETRY_BUDGET;
     for (let i = 0; i < 100; i += 1) {
-      state = countFirst(state, i, ALLOWANCE);
+      state = countFirstAttempt(state, i, ALLOWANCE);
     }
     assert.equal(takeMany(state, 100, 0), Math.floor(0.8 * 0.2 * 100));
     assert.equal(takeMany(state, 20_000, 0), 0);
@@ -58,9 +58,9 @@
         let now = 0;
         events.forEach(({ process, gap, fails }) => {
           now += gap;
-          const counted = countFirst(states[process] ?? EMPTY_RETRY_BUDGET, now, ALLOWANCE);
+          const counted = countFirstAttempt(states[process] ?? EMPTY_RETRY_BUDGET, now, ALLOWANCE);
           firsts.push(now);
-          const { state, allowed } = takeRetryOf(counted, now, ALLOWANCE, 6);
+          const { state, allowed } = takeRetryWithin(counted, now, ALLOWANCE, 6);
           states[process] = fails ? state : counted;
           if (fails && allowed) {
             retries.push(now);
--- a/src/coordination/__tests__/unit/StartupWait.test.ts
+++ b/src/coordination/__tests__/unit/StartupWait.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { STARTUP_MS, startupWait } from '../../index.js';
+import { STARTUP_WINDOW_MS, startupWaitMs } from '../../index.js';
 
 /** How a caller fares who comes to a process that started at 0 and can serve from `servesAt` on. */
 function outcomeOf(arrivesAt: number, deadlineMs: number, servesAt: number): 'served' | 'refused' {
-  const waitMs = startupWait(arrivesAt, 0, deadlineMs);
+  const waitMs = startupWaitMs(arrivesAt, 0, deadlineMs);
   return arrivesAt >= servesAt || arrivesAt + waitMs >= servesAt ? 'served' : 'refused';
 }
 
@@ -17,13 +17,13 @@
   });
 
   it('keeps nobody beyond the deadline, nor beyond the patience of a caller', () => {
-    assert.ok(startupWait(0, 0, 600) < 600);
-    assert.ok(startupWait(1_500, 1_500, 8_000) < 500);
-    assert.equal(startupWait(0, 0, 20), 0);
+    assert.ok(startupWaitMs(0, 0, 600) < 600);
+    assert.ok(startupWaitMs(1_500, 1_500, 8_000) < 500);
+    assert.equal(startupWaitMs(0, 0, 20), 0);
   });
 
   // Guards against: callers wait in vain at a process that is cut off from control.
   it('refuses at once when the start is long ago', () => {
-    assert.equal(startupWait(STARTUP_MS, 0, 8_000), 0);
+    assert.equal(startupWaitMs(STARTUP_WINDOW_MS, 0, 8_000), 0);
   });
 });
--- a/src/coordination/__tests__/unit/StreamQueue.test.ts
+++ b/src/coordination/__tests__/unit/StreamQueue.test.ts
@@ -2,13 +2,13 @@
 import { describe, it } from 'node:test';
 import {
   enqueue,
-  pump,
-  type QueueOutlook,
+  admitWaiting,
+  type QueueForecast,
   type StreamQueue,
   type WaitingRequest,
 } from '../../index.js';
 
-const BUSY: QueueOutlook = {
+const BUSY: QueueForecast = {
   free: 0,
   ratePerMs: 0.005,
   isRecovering: false,
@@ -24,10 +24,10 @@
     arrivedAt: 0,
     objectiveAt: 400,
     deadline: 8_000,
-    patientUntil: 2_000,
+    firstEventDeadline: 2_000,
     tokens: 140,
     likelyTokens: 140,
-    returned: false,
+    isCallerRetry: false,
     ...change,
   };
 }
@@ -53,14 +53,14 @@
       request(2, { objectiveAt: 900 }),
       request(3, { objectiveAt: 700 }),
     ]);
-    const step = pump(queue, { ...BUSY, free: 2 }, 200, 0.5);
+    const step = admitWaiting(queue, { ...BUSY, free: 2 }, 200, 0.5);
     assert.deepEqual(step.admitted, [3, 2]);
-    assert.deepEqual(pump(step.queue, { ...BUSY, free: 1 }, 210, 0.5).admitted, [1]);
+    assert.deepEqual(admitWaiting(step.queue, { ...BUSY, free: 1 }, 210, 0.5).admitted, [1]);
   });
 
   it('puts the more urgent before the less', () => {
     const queue = waitAll([request(1, { priority: 2 }), request(2, { priority: 0 })]);
-    assert.deepEqual(pump(queue, { ...BUSY, free: 1 }, 10, 0.5).admitted, [2]);
+    assert.deepEqual(admitWaiting(queue, { ...BUSY, free: 1 }, 10, 0.5).admitted, [2]);
   });
 
   // A group was down for seconds, and its callers come back as it opens, among new ones. Sent behind
@@ -68,29 +68,29 @@
   it('lets those that came back go before all others', () => {
     const queue = waitAll([
       request(1, { objectiveAt: 900 }),
-      request(2, { returned: true, objectiveAt: 100, deadline: 5_000 }),
+      request(2, { isCallerRetry: true, objectiveAt: 100, deadline: 5_000 }),
     ]);
-    assert.deepEqual(pump(queue, { ...BUSY, free: 1 }, 200, 0.5).admitted, [2]);
+    assert.deepEqual(admitWaiting(queue, { ...BUSY, free: 1 }, 200, 0.5).admitted, [2]);
   });
 
   // Load pattern: callers wait out a group that is down. Guards against: they are sent away for good, for want of
   // time for the longest answer that they allow, right before it opens.
   it('keeps who came back while the group is down, and begins them when it opens', () => {
-    const closed: QueueOutlook = { ...BUSY, ratePerMs: 0, isRecovering: true };
+    const closed: QueueForecast = { ...BUSY, ratePerMs: 0, isRecovering: true };
     const back = { returned: true, patientUntil: 2_000, deadline: 4_000 };
     const queue = waitAll([request(1, { ...back, tokens: 350, likelyTokens: 60 })], closed);
-    const waiting = pump(queue, closed, 1_500, 0.5);
+    const waiting = admitWaiting(queue, closed, 1_500, 0.5);
     assert.deepEqual(waiting.refused, []);
-    const opened = pump(waiting.queue, { ...closed, ratePerMs: 0.005, free: 1 }, 1_600, 0.5);
+    const opened = admitWaiting(waiting.queue, { ...closed, ratePerMs: 0.005, free: 1 }, 1_600, 0.5);
     assert.deepEqual(opened.admitted, [1]);
   });
 
   // Load pattern: a group is gone for good. Guards against: each caller waits out its patience twice, in vain.
   it('refuses at once while the service has been down for longer than callers wait', () => {
-    const gone: QueueOutlook = { ...BUSY, ratePerMs: 0, isRecovering: true, isLongDown: true };
+    const gone: QueueForecast = { ...BUSY, ratePerMs: 0, isRecovering: true, isLongDown: true };
     const step = enqueue([], request(1), gone, 0, 0.5);
     assert.deepEqual([step.queue, step.refused.length], [[], 1]);
-    assert.equal(pump([request(2)], gone, 100, 0.5).refused.length, 1);
+    assert.equal(admitWaiting([request(2)], gone, 100, 0.5).refused.length, 1);
   });
 
   it('judges by the longest answer while the service is up', () => {
@@ -120,10 +120,10 @@
   it('lets callers wait for a group that is down, for a bounded time', () => {
     const down = { ...BUSY, ratePerMs: 0 };
     [false, true].forEach((returned) => {
-      const { queue, refused } = enqueue([], request(2, { returned }), down, 0, 0.5);
+      const { queue, refused } = enqueue([], request(2, { isCallerRetry: returned }), down, 0, 0.5);
       assert.deepEqual([queue.length, refused.length], [1, 0]);
-      assert.equal(pump(queue, down, 1_500, 0.5).refused.length, 0);
-      const [refusal] = pump(queue, down, 1_860, 0.5).refused;
+      assert.equal(admitWaiting(queue, down, 1_500, 0.5).refused.length, 0);
+      const [refusal] = admitWaiting(queue, down, 1_860, 0.5).refused;
       assert.ok((refusal?.retryAfterMs ?? 0) > 0.29 * (8_000 - 1_860));
       assert.ok((refusal?.retryAfterMs ?? Infinity) <= (8_000 - 1_860) / 3);
     });
@@ -131,14 +131,14 @@
 
   it('refuses at once while a group is down what has no patience left for its opening', () => {
     const down = { ...BUSY, ratePerMs: 0 };
-    assert.equal(enqueue([], request(1, { patientUntil: 100 }), down, 0, 0.5).refused.length, 1);
+    assert.equal(enqueue([], request(1, { firstEventDeadline: 100 }), down, 0, 0.5).refused.length, 1);
     const short = request(2, { deadline: 1_900 });
     assert.equal(enqueue([], short, down, 0, 0.5).refused.length, 1);
   });
 
   it('spreads returns', () => {
     const down = { ...BUSY, ratePerMs: 0 };
-    const late = request(1, { patientUntil: 100 });
+    const late = request(1, { firstEventDeadline: 100 });
     const after = [0, 0.5, 1].map(
       (random) => enqueue([], late, down, 0, random).refused[0]?.retryAfterMs ?? 0,
     );
--- a/src/coordination/__tests__/unit/Subset.test.ts
+++ b/src/coordination/__tests__/unit/Subset.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { MemberRecord } from '../../../protocol/index.js';
-import { dealSubset, keepSubsets } from '../../index.js';
+import { deterministicSubset, filterToSubsets } from '../../index.js';
 
 const ids = (prefix: string, count: number): readonly string[] =>
   Array.from({ length: count }, (_item, i) => `${prefix}${i}`);
@@ -10,7 +10,7 @@
 function coverage(endpoints: number, entries: readonly string[], size: number): readonly number[] {
   const uses = new Map(ids('p', endpoints).map((id) => [id, 0]));
   entries
-    .flatMap((entry) => dealSubset(ids('p', endpoints), entries, entry, size))
+    .flatMap((entry) => deterministicSubset(ids('p', endpoints), entries, entry, size))
     .forEach((id) => uses.set(id, (uses.get(id) ?? 0) + 1));
   return [...uses.values()];
 }
@@ -28,7 +28,7 @@
 
 describe('dealSubset', () => {
   it('uses all where there are few', () => {
-    assert.equal(dealSubset(ids('p', 15), ids('e', 6), 'e1', 32).length, 15);
+    assert.equal(deterministicSubset(ids('p', 15), ids('e', 6), 'e1', 32).length, 15);
   });
 
   it('spreads 87 entry processes over 264 endpoints within one round', () => {
@@ -44,8 +44,8 @@
     const all = ids('p', 264);
     const kept = all.filter((id) => id !== 'p7');
     const moved = entries.map((entry) => {
-      const before = new Set(dealSubset(all, entries, entry, 32));
-      return dealSubset(kept, entries, entry, 32).filter((id) => !before.has(id)).length;
+      const before = new Set(deterministicSubset(all, entries, entry, 32));
+      return deterministicSubset(kept, entries, entry, 32).filter((id) => !before.has(id)).length;
     });
     assert.ok(moved.reduce((sum, count) => sum + count, 0) / entries.length <= 1);
   });
@@ -57,7 +57,7 @@
     const records = ['a', 'b', 'c', 'd'].flatMap((zone) =>
       Array.from({ length: 264 }, (_item, i) => endpoint(zone, i, `m${i % 8}`)),
     );
-    const kept = keepSubsets(records, { id: 'e1', zone: 'a', entries: ids('e', 87) });
+    const kept = filterToSubsets(records, { id: 'e1', zone: 'a', entries: ids('e', 87) });
     const remote = kept.filter(({ zone }) => zone !== 'a').length;
     assert.equal(kept.length - remote, 264);
     assert.ok(remote >= 8 * 8 && remote <= 8 * 9, String(remote));
--- a/src/coordination/__tests__/utils/LimitsModelHost.ts
+++ b/src/coordination/__tests__/utils/LimitsModelHost.ts
@@ -1,20 +1,20 @@
 /** One entry host of the model: what it knows of the endpoint's limit, and its pace. */
 import { NO_LIMITS, type LimitsState } from '../../EndpointLimits.js';
 import {
-  adjustPace,
-  intervalOf,
-  paceWait,
-  takeTurn,
+  updateInterval,
+  sendIntervalOf,
+  sendWaitMs,
+  reserveSendSlot,
   updateHosts,
   type RecentHosts,
-  type SendPace,
+  type SendRate,
 } from '../../LimitShare.js';
 
 /** Life of the endpoint. */
-export const LIFE = 'i-1@1';
+export const INCARNATION_KEY = 'i-1@1';
 
 /** Ways to share a limit. */
-export type ShareWay =
+export type ShareStrategy =
   /** A few senders, each with its even part. */
   | 'senders'
   /** All hosts are senders, each with its even part. */
@@ -24,19 +24,19 @@
 
 export class LimitsModelHost {
   /** When an answer first named the limit to it, ms. */
-  toldAt = Infinity;
+  notifiedAt = Infinity;
 
   #state: LimitsState = NO_LIMITS;
 
-  #pace: SendPace | undefined = undefined;
+  #sendRate: SendRate | undefined = undefined;
 
   #hosts: RecentHosts = new Map();
 
   readonly #id: string;
 
-  readonly #way: ShareWay;
+  readonly #way: ShareStrategy;
 
-  constructor(id: string, way: ShareWay) {
+  constructor(id: string, way: ShareStrategy) {
     this.#id = id;
     this.#way = way;
   }
@@ -56,15 +56,15 @@
   }
 
   #adjust(now: number): void {
-    const perSecond = this.#state.get(LIFE)?.perSecond ?? null;
-    this.#pace =
-      perSecond === null ? undefined : adjustPace(this.#pace, this.#interval(perSecond), now);
+    const perSecond = this.#state.get(INCARNATION_KEY)?.perSecond ?? null;
+    this.#sendRate =
+      perSecond === null ? undefined : updateInterval(this.#sendRate, this.#interval(perSecond), now);
   }
 
   #interval(perSecond: number): number {
     const hosts = [...this.#hosts.keys()];
-    const ways: Readonly<Record<ShareWay, () => number>> = {
-      senders: () => intervalOf(this.#id, LIFE, perSecond, hosts),
+    const ways: Readonly<Record<ShareStrategy, () => number>> = {
+      senders: () => sendIntervalOf(this.#id, INCARNATION_KEY, perSecond, hosts),
       even: () => (hosts.length * 1_000) / perSecond,
       alone: () => 1_000 / perSecond,
     };
@@ -72,12 +72,12 @@
   }
 
   /** Sends now if it may. */
-  take(now: number): boolean {
-    if (this.#pace === undefined) {
+  sendIfAllowed(now: number): boolean {
+    if (this.#sendRate === undefined) {
       return true;
     }
-    const isFree = paceWait(this.#pace, now) === 0;
-    this.#pace = isFree ? takeTurn(this.#pace, now) : this.#pace;
+    const isFree = sendWaitMs(this.#sendRate, now) === 0;
+    this.#sendRate = isFree ? reserveSendSlot(this.#sendRate, now) : this.#sendRate;
     return isFree;
   }
 }
--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -8,7 +8,7 @@
   type AdmissionState,
 } from './Admission.js';
 export {
-  LEAST_TIME_MS,
+  MIN_ATTEMPT_TIME_MS,
   MAX_ATTEMPTS,
   startAttempts,
   stepAttempts,
@@ -56,7 +56,7 @@
   type QuarantineStep,
   type Suspect,
 } from './Quarantine.js';
-export { rememberAnswer, wasAnswered, type RecentAnswers } from './RecentAnswers.js';
+export { rememberAnswer, wasRecentlyAnswered, type RecentAnswers } from './RecentAnswers.js';
 export {
   endpointIdOf,
   incarnationKeyOf,
@@ -74,7 +74,7 @@
 export { engineAnswered, engineCrashed, FIRST_INCARNATION, type EngineIncarnation } from './EngineIncarnations.js';
 export {
   initGate,
-  REMEMBER_MS,
+  CLOSED_ATTEMPT_TTL_MS,
   stepGate,
   type GateInput,
   type GateOutput,
@@ -172,51 +172,51 @@
   RoutingState,
 } from './RoutingTypes.js';
 export {
-  dealSubset,
-  keepSubsets,
+  deterministicSubset,
+  filterToSubsets,
   selectSubset,
-  SUBSET_OWN,
-  SUBSET_REMOTE,
+  OWN_ZONE_SUBSET_SIZE,
+  REMOTE_ZONE_SUBSET_SIZE,
   type SubsetSelf,
 } from './Subset.js';
 export {
   clockOf,
-  forgetLimits,
+  dropExpiredLimits,
   hashLimits,
-  LIMIT_MS,
+  LIMIT_TTL_MS,
   mergeLimits,
   NO_LIMITS,
-  takeNamedLimit,
-  writeLimits,
+  applyAdvertisedLimit,
+  toLimitUpdates,
   type EndpointLimit,
-  type LimitMark,
+  type LimitTimestamp,
   type LimitsState,
   type LimitsStep,
 } from './EndpointLimits.js';
 export {
-  dropRefusals,
-  endRefusals,
-  refusingNow,
-  takeRefusal,
+  dropExpiredRefusals,
+  clearRefusals,
+  refusingEndpoints,
+  recordRefusal,
   type EndpointRefusal,
   type EndpointRefusals,
 } from './EndpointRefusals.js';
-export { dropRested, takeRest, type RestPace, type RestPaces } from './EndpointRests.js';
+export { dropExpiredBackoffs, recordBackoff, type EndpointBackoff, type EndpointBackoffs } from './EndpointBackoffs.js';
 export {
-  adjustPace,
-  intervalOf,
-  paceWait,
+  updateInterval,
+  sendIntervalOf,
+  sendWaitMs,
   sendersTo,
-  takeTurn,
+  reserveSendSlot,
   updateHosts,
   type RecentHosts,
-  type SendPace,
+  type SendRate,
 } from './LimitShare.js';
 export {
   isUnsent,
   judgeFailure,
-  LEAST_RETRY_MS,
-  promisesNotRun,
+  MIN_RETRY_TIME_MS,
+  isNotRunStatus,
   type DirectFailure,
   type DirectProgress,
   type DirectVerdict,
@@ -232,9 +232,9 @@
   type FreshnessState,
 } from './ConfigFreshness.js';
 export {
-  countFirst,
+  countFirstAttempt,
   EMPTY_RETRY_BUDGET,
-  takeRetryOf,
+  takeRetryWithin,
   type RetryAllowance,
   type RetryBudgetState,
 } from './RetryBudget.js';
@@ -274,28 +274,28 @@
   writeTime,
 } from './EngineModel.js';
 export {
-  agePlaces,
-  breakPlaces,
+  dropStaleLoad,
+  markGroupBroken,
   chooseRank,
-  freeAt,
-  initPlaces,
+  freeSlotsAt,
+  initGroupSlots,
   isOpenGroup,
-  isStandingStill,
-  mendPlaces,
-  LOAD_VALID_MS,
-  ownAt,
-  takeLoad,
+  isGroupStalled,
+  markGroupRecovered,
+  LOAD_TTL_MS,
+  ownRequestsAt,
+  applyGroupLoad,
   workAt,
   type OwnStreams,
-  type PlaceGroup,
-  type PlaceRank,
-  type PlaceRules,
-} from './Places.js';
+  type GroupSlots,
+  type GroupRank,
+  type SlotParameters,
+} from './GroupSlots.js';
 export {
   enqueue,
-  pump,
-  returnAfter,
-  type QueueOutlook,
+  admitWaiting,
+  retryDelayMs,
+  type QueueForecast,
   type QueueRefusal,
   type QueueStep,
   type StreamQueue,
@@ -306,5 +306,5 @@
 export { applyMapDiff, diffMap, type MapRow } from './MapDiff.js';
 export { awaitsReport } from './MapSwitchOrders.js';
 export { hasHolderTerminated, holderName, type LeaseHolder } from './LeaseHolder.js';
-export { STARTUP_MS, startupWait } from './StartupWait.js';
+export { STARTUP_WINDOW_MS, startupWaitMs } from './StartupWait.js';
 export { endSettling, isSettlingDue, openSettling, SETTLED, type Settling } from './Settling.js';
--- a/src/daemon/DaemonEntryState.ts
+++ b/src/daemon/DaemonEntryState.ts
@@ -4,7 +4,7 @@
   admit,
   EMPTY_ADMISSION,
   initRouting,
-  keepSubsets,
+  filterToSubsets,
   mergeDelta,
   QUARANTINE_CRASHES,
   pruneView,
@@ -83,7 +83,7 @@
     if (this.#config.index === 0) {
       return 'no configuration from a control process yet';
     }
-    return this.#routing.places.size === 0 ? 'no endpoint known yet' : 'ready';
+    return this.#routing.positions.size === 0 ? 'no endpoint known yet' : 'ready';
   }
 
   onConfig(config: ConfigState): void {
@@ -200,6 +200,6 @@
     this.#entryHosts = entries.length;
     const own = entries.filter(({ zone }) => zone === this.#zone).map(({ id }) => id);
     const self = { id: this.#id, zone: this.#zone, entries: own };
-    this.updateRouting({ type: 'members', records: keepSubsets(records, self) });
+    this.updateRouting({ type: 'members', records: filterToSubsets(records, self) });
   }
 }
--- a/src/daemon/DaemonLimits.ts
+++ b/src/daemon/DaemonLimits.ts
@@ -1,10 +1,10 @@
 /** Task of an entry or control process that holds the limits that endpoints have named, and exchanges them. */
 import {
-  forgetLimits,
+  dropExpiredLimits,
   hashLimits,
   mergeLimits,
   NO_LIMITS,
-  writeLimits,
+  toLimitUpdates,
   type EndpointLimit,
   type LimitsState,
   type LimitsStep,
@@ -18,8 +18,8 @@
   itemsOf: (state) => [...state.values()],
   hash: hashLimits,
   merge: mergeLimits,
-  forget: forgetLimits,
-  write: writeLimits,
+  forget: dropExpiredLimits,
+  write: toLimitUpdates,
 };
 
 /** What the task needs. */
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -5,7 +5,7 @@
 import {
   incarnationKeyOf,
   rememberAnswer,
-  wasAnswered,
+  wasRecentlyAnswered,
   type LostRequest,
   type RecentAnswers,
 } from '../coordination/index.js';
@@ -102,14 +102,14 @@
    * time is in progress wherever an endpoint ends.
    */
   async onLost(endpoint: MemberRecord, identity: RequestIdentity, request: string): Promise<void> {
-    if (!wasAnswered(this.#answers, identity, this.#options.runtime.now())) {
+    if (!wasRecentlyAnswered(this.#answers, identity, this.#options.runtime.now())) {
       await this.#ends.onLost(endpoint, this.#lost(identity, request));
     }
   }
 
   /** A gate has seen its engine end under a request; it counts the engine's lives. */
   onEnded(endpoint: MemberRecord, life: number, identity: RequestIdentity, request: string): void {
-    if (!wasAnswered(this.#answers, identity, this.#options.runtime.now())) {
+    if (!wasRecentlyAnswered(this.#answers, identity, this.#options.runtime.now())) {
       this.#ends.onEnded(`${incarnationKeyOf(endpoint)}#${life}`, this.#lost(identity, request));
     }
   }
--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -1,24 +1,24 @@
 /** Task state of an entry process's admission: places at groups of ranks, and who waits for one. */
 import type { Logger } from 'pino';
 import {
-  agePlaces,
-  breakPlaces,
+  dropStaleLoad,
+  markGroupBroken,
   chooseRank,
   enqueue,
-  freeAt,
-  initPlaces,
+  freeSlotsAt,
+  initGroupSlots,
   isOpenGroup,
-  isStandingStill,
-  mendPlaces,
-  ownAt,
-  pump,
-  returnAfter,
-  takeLoad,
+  isGroupStalled,
+  markGroupRecovered,
+  ownRequestsAt,
+  admitWaiting,
+  retryDelayMs,
+  applyGroupLoad,
   writeTime,
-  type PlaceGroup,
-  type PlaceRank,
-  type PlaceRules,
-  type QueueOutlook,
+  type GroupSlots,
+  type GroupRank,
+  type SlotParameters,
+  type QueueForecast,
   type QueueStep,
   type StreamQueue,
   type WaitingRequest,
@@ -81,7 +81,7 @@
 }
 
 interface Service {
-  readonly groups: ReadonlyMap<string, PlaceGroup>;
+  readonly groups: ReadonlyMap<string, GroupSlots>;
   readonly queue: StreamQueue;
 }
 
@@ -145,7 +145,7 @@
         .filter(({ offer }) => offer?.fleet === DIRECT_FLEET)
         .map((record) => [hostOf(record.address), record]),
     );
-    const found = new Map<string, Map<string, PlaceRank[]>>();
+    const found = new Map<string, Map<string, GroupRank[]>>();
     records.forEach(({ address, offer, zone }) => {
       const endpoint = endpoints.get(hostOf(address));
       const rank = offer?.ranks?.[0];
@@ -153,7 +153,7 @@
       if (offer?.group === undefined || rank === undefined || service === undefined) {
         return;
       }
-      const groups = found.get(service) ?? new Map<string, PlaceRank[]>();
+      const groups = found.get(service) ?? new Map<string, GroupRank[]>();
       found.set(service, groups);
       const ranks = groups.get(offer.group) ?? [];
       groups.set(offer.group, [...ranks, { endpoint: endpoint?.id ?? '', rank, zone }]);
@@ -167,7 +167,7 @@
       const rules = this.#rules(service);
       if (group !== undefined && rules !== null) {
         const { now, random } = this.#runtime;
-        const next = takeLoad(group, load, this.#own, rules, now(), random());
+        const next = applyGroupLoad(group, load, this.#own, rules, now(), random());
         if (load.open) {
           this.#downSince.delete(service);
         }
@@ -178,7 +178,7 @@
     });
   }
 
-  #logLoad(service: string, state: PlaceGroup): void {
+  #logLoad(service: string, state: GroupSlots): void {
     this.#placesLog.write(state, {
       own: this.#own,
       waiting: this.#services.get(service)?.queue.length ?? 0,
@@ -204,10 +204,10 @@
       arrivedAt: req.startedAt,
       objectiveAt: req.startedAt + req.objectiveMs,
       deadline: req.deadline,
-      patientUntil: req.startedAt + req.patienceMs,
+      firstEventDeadline: req.startedAt + req.patienceMs,
       tokens,
       likelyTokens: Math.min(tokens, likely),
-      returned: req.returned,
+      isCallerRetry: req.returned,
     };
     return new Promise((resolve) => {
       this.#waiters.set(waiting.id, { waiting, resolve });
@@ -236,15 +236,15 @@
     this.#services.forEach(({ groups }, service) => {
       groups.forEach((group) => {
         const own = this.#streams.at(group.ranks.map(({ endpoint }) => endpoint));
-        if (isStandingStill(group, own, now)) {
+        if (isGroupStalled(group, own, now)) {
           this.#break(service, group);
         }
       });
     });
   }
 
-  #break(service: string, group: PlaceGroup): void {
-    const broken = breakPlaces(group, this.#runtime.now());
+  #break(service: string, group: GroupSlots): void {
+    const broken = markGroupBroken(group, this.#runtime.now());
     this.#replaceGroup(service, broken);
     if (group.brokenAt === null) {
       this.#logLoad(service, broken);
@@ -260,7 +260,7 @@
         const heard = wasDown && group.ranks.some((rank) => rank.endpoint === endpoint);
         if (heard) {
           this.#downSince.delete(service);
-          this.#replaceGroup(service, mendPlaces(group));
+          this.#replaceGroup(service, markGroupRecovered(group));
           this.#pump(service);
         }
       });
@@ -294,7 +294,7 @@
     return choose([...exclude, ...silent]) ?? (silent.length > 0 ? choose(exclude) : null);
   }
 
-  #silentAt({ ranks }: PlaceGroup): readonly string[] {
+  #silentAt({ ranks }: GroupSlots): readonly string[] {
     const endpoints = ranks.map(({ endpoint }) => endpoint);
     return this.#streams.silentAmong(endpoints, this.#runtime.now());
   }
@@ -327,7 +327,7 @@
       const rules = this.#rules(service);
       if (rules !== null) {
         groups.forEach((group) => {
-          const aged = agePlaces(group, rules, this.#runtime.now());
+          const aged = dropStaleLoad(group, rules, this.#runtime.now());
           if (aged !== group) {
             this.#replaceGroup(service, aged);
           }
@@ -341,7 +341,7 @@
   retryAfter(service: string, leftMs: number): number | null {
     const outlook = this.#outlook(service);
     const waiting = this.#services.get(service)?.queue.length ?? 0;
-    return outlook === null ? null : returnAfter(leftMs, waiting, outlook, this.#runtime.random());
+    return outlook === null ? null : retryDelayMs(leftMs, waiting, outlook, this.#runtime.random());
   }
 
   /**
@@ -361,24 +361,24 @@
     });
   }
 
-  #setGroups(service: string, found: ReadonlyMap<string, readonly PlaceRank[]>): void {
+  #setGroups(service: string, found: ReadonlyMap<string, readonly GroupRank[]>): void {
     const rules = this.#rules(service);
     if (rules === null) {
       return;
     }
     const known = this.#services.get(service);
-    const groups = new Map<string, PlaceGroup>();
+    const groups = new Map<string, GroupSlots>();
     found.forEach((ranks, group) => {
       const before = known?.groups.get(group);
       groups.set(
         group,
-        before === undefined ? initPlaces(group, ranks, rules) : { ...before, ranks },
+        before === undefined ? initGroupSlots(group, ranks, rules) : { ...before, ranks },
       );
     });
     this.#services.set(service, { groups, queue: known?.queue ?? [] });
   }
 
-  #replaceGroup(service: string, group: PlaceGroup): void {
+  #replaceGroup(service: string, group: GroupSlots): void {
     const state = this.#services.get(service);
     if (state === undefined) {
       return;
@@ -406,12 +406,12 @@
     return this.isClosed(service) || this.#runtime.now() - openedAt < RECOVERY_MS;
   }
 
-  #rules(service: string): PlaceRules | null {
+  #rules(service: string): SlotParameters | null {
     const model = this.#modelOf(service);
     return model === null ? null : { ...model, entryHosts: this.#entryHosts };
   }
 
-  #outlook(service: string): QueueOutlook | null {
+  #outlook(service: string): QueueForecast | null {
     const state = this.#services.get(service);
     const model = this.#modelOf(service);
     if (state === undefined || model === null || state.groups.size === 0) {
@@ -420,9 +420,9 @@
     const groups = [...state.groups.values()];
     const answering = groups.filter(isOpenGroup);
     const granted = this.#granted.get(service) ?? 0;
-    const free = answering.reduce((sum, group) => sum + freeAt(group, this.#own), 0) - granted;
+    const free = answering.reduce((sum, group) => sum + freeSlotsAt(group, this.#own), 0) - granted;
     const places = groups.reduce(
-      (total, group) => total + Math.max(group.allowance, ownAt(group, this.#own)),
+      (total, group) => total + Math.max(group.allowance, ownRequestsAt(group, this.#own)),
       0,
     );
     const passMs = groups.reduce((total, group) => total + group.passMs, 0) / groups.length;
@@ -443,7 +443,7 @@
     const outlook = state === undefined || state.queue.length === 0 ? null : this.#outlook(service);
     if (state !== undefined && outlook !== null) {
       const { now, random } = this.#runtime;
-      this.#take(service, pump(state.queue, outlook, now(), random()));
+      this.#take(service, admitWaiting(state.queue, outlook, now(), random()));
     }
   }
 
--- a/src/daemon/direct/DirectAttempt.ts
+++ b/src/daemon/direct/DirectAttempt.ts
@@ -1,6 +1,6 @@
 /** One attempt of a request at an endpoint: sends it and sorts what comes back. */
 import type { IncomingHttpHeaders } from 'node:http';
-import { promisesNotRun, type DirectFailure } from '../../coordination/index.js';
+import { isNotRunStatus, type DirectFailure } from '../../coordination/index.js';
 import type { AnswerHead, HttpDialect } from '../../protocol/index.js';
 import {
   findEvents,
@@ -137,7 +137,7 @@
     const answer = { head, raw, body: Buffer.concat(this.#chunks) };
     if (head.notRun) {
       this.#fail('notRun', `status ${head.status}`, answer);
-    } else if (promisesNotRun(head.status)) {
+    } else if (isNotRunStatus(head.status)) {
       // Passed on, it would promise the caller what the endpoint hasn't said.
       this.#fail('lost', `status ${head.status} without the word that it has not run`);
     } else if (head.status >= FIRST_FAILURE || !head.sealed) {
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -3,7 +3,7 @@
 import {
   isUnsent,
   judgeFailure,
-  LEAST_RETRY_MS,
+  MIN_RETRY_TIME_MS,
   type DirectProgress,
   type DirectVerdict,
 } from '../../coordination/index.js';
@@ -242,7 +242,7 @@
    */
   #awaitTurn(): void {
     const { service, route, head, startedAt, deadline } = this.#spec;
-    const until = Math.min(startedAt + route.patienceMs, deadline - LEAST_RETRY_MS);
+    const until = Math.min(startedAt + route.patienceMs, deadline - MIN_RETRY_TIME_MS);
     const turn = this.#state.takeTurn(service, this.#tried, until - this.#state.now());
     const nextMs = turn?.waitMs ?? this.#state.nextTurnMs(service, this.#tried);
     if (nextMs !== null) {
@@ -406,13 +406,13 @@
     const isStream = route.kind === 'stream';
     return {
       repeatable: route.kind === 'idempotent' || (isStream && route.resumable),
-      sends: this.#sends,
+      sendCount: this.#sends,
       maxSends: route.maxAttempts,
       mayHaveRun: this.#mayHaveRun,
-      begun: this.#spec.reply.begun,
+      responseStarted: this.#spec.reply.begun,
       canResume: isStream && route.resumable && this.#lastEvent !== null,
-      isClosed: this.#state.admission.isClosed(service),
-      leftMs: deadline - this.#state.now(),
+      isServiceDown: this.#state.admission.isClosed(service),
+      remainingMs: deadline - this.#state.now(),
     };
   }
 
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -1,6 +1,6 @@
 /** Task state of an entry process that calls endpoints directly: configuration, members, budgets. */
 import {
-  countFirst,
+  countFirstAttempt,
   EMPTY_RETRY_BUDGET,
   endSettling,
   FRESHNESS_LEASE_FRACTION,
@@ -19,7 +19,7 @@
   serviceKey,
   servingMembers,
   SETTLED,
-  takeRetryOf,
+  takeRetryWithin,
   UNPROVEN,
   updateRouting,
   type ClockReading,
@@ -188,7 +188,7 @@
     if (!this.isFresh) {
       return 'not sure that the configuration is the newest';
     }
-    return this.#routing.places.size === 0 ? 'no endpoint known yet' : 'ready';
+    return this.#routing.positions.size === 0 ? 'no endpoint known yet' : 'ready';
   }
 
   onConfig(config: ConfigState): void {
@@ -373,13 +373,13 @@
   countFirst(service: string): void {
     const { retries } = this.#options;
     const known = this.#budgets.get(service) ?? EMPTY_RETRY_BUDGET;
-    this.#budgets.set(service, countFirst(known, this.now(), retries));
+    this.#budgets.set(service, countFirstAttempt(known, this.now(), retries));
   }
 
   takeRetry(service: string): boolean {
     const { retries } = this.#options;
     const known = this.#budgets.get(service) ?? EMPTY_RETRY_BUDGET;
-    const { state, allowed } = takeRetryOf(known, this.now(), retries, this.#entryHosts);
+    const { state, allowed } = takeRetryWithin(known, this.now(), retries, this.#entryHosts);
     this.#budgets.set(service, state);
     return allowed;
   }
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -1,16 +1,16 @@
 /** What an entry process may send to endpoints that have named a limit. */
 import { Gauge } from 'prom-client';
 import {
-  adjustPace,
+  updateInterval,
   clockOf,
-  intervalOf,
+  sendIntervalOf,
   incarnationKeyOf,
-  takeNamedLimit,
+  applyAdvertisedLimit,
   updateHosts,
   type IncarnationKey,
-  type LimitMark,
+  type LimitTimestamp,
   type RecentHosts,
-  type SendPace,
+  type SendRate,
 } from '../../coordination/index.js';
 import type { LimitNews, MemberRecord, NamedLimit } from '../../protocol/index.js';
 import { DaemonLimits } from '../DaemonLimits.js';
@@ -31,7 +31,7 @@
 const HUB = 'hub';
 
 /** Task of one entry process. */
-export class DirectLimits extends DirectPaces<SendPace> {
+export class DirectLimits extends DirectPaces<SendRate> {
   readonly #options: DirectLimitsOptions;
 
   readonly #limits: DaemonLimits;
@@ -75,7 +75,7 @@
   }
 
   /** Marks a request that is sent now. */
-  mark(endpoint: MemberRecord): LimitMark {
+  mark(endpoint: MemberRecord): LimitTimestamp {
     return {
       clock: clockOf(this.#limits.state, incarnationKeyOf(endpoint)),
       at: this.#options.runtime.now(),
@@ -83,10 +83,10 @@
   }
 
   /** Takes the limit that an answer names; `sent` marks its request. */
-  onAnswer(endpoint: MemberRecord, sent: LimitMark, limit: NamedLimit, request: string): void {
+  onAnswer(endpoint: MemberRecord, sent: LimitTimestamp, limit: NamedLimit, request: string): void {
     const { log, now } = this.#options.runtime;
     const life = incarnationKeyOf(endpoint);
-    const step = takeNamedLimit(this.#limits.state, life, sent, limit, now());
+    const step = applyAdvertisedLimit(this.#limits.state, life, sent, limit, now());
     this.#limits.take(step);
     if (step.changed.length > 0 || limit === 'unreadable') {
       log.info({ event: 'limit_named', endpoint: life, limit, request }, 'an answer names a limit');
@@ -128,7 +128,7 @@
       return known.intervalMs;
     }
     const hosts = [...this.#hosts.keys()];
-    const intervalMs = intervalOf(this.#options.self, life, perSecond, hosts);
+    const intervalMs = sendIntervalOf(this.#options.self, life, perSecond, hosts);
     this.#intervals.set(life, { perSecond, intervalMs });
     return intervalMs;
   }
@@ -136,11 +136,11 @@
   /** Brings the paces in line with limits and hosts. */
   #adjust(): void {
     const now = this.#options.runtime.now();
-    const paces = new Map<IncarnationKey, SendPace>();
+    const paces = new Map<IncarnationKey, SendRate>();
     this.#limits.state.forEach(({ life, perSecond }) => {
       if (perSecond !== null) {
         const intervalMs = this.#intervalOf(life, perSecond);
-        paces.set(life, adjustPace(this.paces.get(life), intervalMs, now));
+        paces.set(life, updateInterval(this.paces.get(life), intervalMs, now));
       }
     });
     this.replace(paces);
--- a/src/daemon/direct/DirectPaces.ts
+++ b/src/daemon/direct/DirectPaces.ts
@@ -1,15 +1,15 @@
 /** Paces at which an entry process may send to endpoints; those without one take requests at any time. */
 import {
   incarnationKeyOf,
-  paceWait,
-  takeTurn,
+  sendWaitMs,
+  reserveSendSlot,
   type IncarnationKey,
-  type SendPace,
+  type SendRate,
 } from '../../coordination/index.js';
 import type { MemberRecord } from '../../protocol/index.js';
 
 /** Paces by life, in one place of change. */
-export class DirectPaces<Pace extends SendPace> {
+export class DirectPaces<Pace extends SendRate> {
   readonly #now: () => number;
 
   #paces: ReadonlyMap<IncarnationKey, Pace> = new Map();
@@ -30,14 +30,14 @@
   get heldBack(): readonly (readonly [IncarnationKey, number])[] {
     const now = this.#now();
     return [...this.#paces]
-      .map(([life, pace]) => [life, paceWait(pace, now)] as const)
+      .map(([life, pace]) => [life, sendWaitMs(pace, now)] as const)
       .filter(([, waitMs]) => waitMs > 0);
   }
 
   /** Time until an endpoint takes a request, ms. */
   waitMs(endpoint: MemberRecord): number {
     const pace = this.#paces.get(incarnationKeyOf(endpoint));
-    return pace === undefined ? 0 : paceWait(pace, this.#now());
+    return pace === undefined ? 0 : sendWaitMs(pace, this.#now());
   }
 
   /** Takes the next turn at an endpoint, whenever that is. */
@@ -45,7 +45,7 @@
     const life = incarnationKeyOf(endpoint);
     const pace = this.#paces.get(life);
     if (pace !== undefined) {
-      this.#paces = new Map(this.#paces).set(life, takeTurn(pace, this.#now()));
+      this.#paces = new Map(this.#paces).set(life, reserveSendSlot(pace, this.#now()));
     }
   }
 }
--- a/src/daemon/direct/DirectPlacesLog.ts
+++ b/src/daemon/direct/DirectPlacesLog.ts
@@ -1,6 +1,6 @@
 /** Log lines on the places at groups: what an entry process's admission rests on. */
 import type { Logger } from 'pino';
-import { isOpenGroup, type PlaceGroup } from '../../coordination/index.js';
+import { isOpenGroup, type GroupSlots } from '../../coordination/index.js';
 
 /** Where nobody waits, places are logged this often, ms. */
 const QUIET_LOG_MS = 2_000;
@@ -31,7 +31,7 @@
     this.#now = now;
   }
 
-  write(state: PlaceGroup, { own, waiting }: PlacesUse): void {
+  write(state: GroupSlots, { own, waiting }: PlacesUse): void {
     const { group, load, allowance, limit, passMs } = state;
     const now = this.#now();
     const open = load !== null && isOpenGroup(state);
--- a/src/daemon/direct/DirectRefusals.ts
+++ b/src/daemon/direct/DirectRefusals.ts
@@ -1,9 +1,9 @@
 /** Endpoints that this entry process passes over, as they have just refused its requests. */
 import {
-  dropRefusals,
-  endRefusals,
-  refusingNow,
-  takeRefusal,
+  dropExpiredRefusals,
+  clearRefusals,
+  refusingEndpoints,
+  recordRefusal,
   type EndpointRefusals,
 } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
@@ -27,18 +27,18 @@
 
   /** Ids of endpoints to pass over as long as others are left. */
   get passedOver(): readonly string[] {
-    return refusingNow(this.#refusals, this.#runtime.now());
+    return refusingEndpoints(this.#refusals, this.#runtime.now());
   }
 
   /** Takes the head of an endpoint's answer to a request. */
   onAnswer(endpoint: MemberRecord, head: AnswerHead, request: string): void {
     const { now, log } = this.#runtime;
     if (!isRefusal(endpoint, head)) {
-      this.#refusals = head.notRun ? this.#refusals : endRefusals(this.#refusals, endpoint.id);
+      this.#refusals = head.notRun ? this.#refusals : clearRefusals(this.#refusals, endpoint.id);
       return;
     }
     const known = this.#refusals;
-    this.#refusals = takeRefusal(known, endpoint.id, now());
+    this.#refusals = recordRefusal(known, endpoint.id, now());
     const refusal = this.#refusals.get(endpoint.id);
     if (this.#refusals !== known && refusal !== undefined) {
       const { count, at, until } = refusal;
@@ -50,6 +50,6 @@
   }
 
   tick(): void {
-    this.#refusals = dropRefusals(this.#refusals, this.#runtime.now());
+    this.#refusals = dropExpiredRefusals(this.#refusals, this.#runtime.now());
   }
 }
--- a/src/daemon/direct/DirectRests.ts
+++ b/src/daemon/direct/DirectRests.ts
@@ -1,12 +1,12 @@
 /** Rest that endpoints have asked this entry process for. */
 import { Gauge } from 'prom-client';
-import { dropRested, incarnationKeyOf, takeRest, type RestPace } from '../../coordination/index.js';
+import { dropExpiredBackoffs, incarnationKeyOf, recordBackoff, type EndpointBackoff } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import { DirectPaces } from './DirectPaces.js';
 
 /** Task of one entry process. */
-export class DirectRests extends DirectPaces<RestPace> {
+export class DirectRests extends DirectPaces<EndpointBackoff> {
   readonly #runtime: Pick<Runtime, 'now' | 'log' | 'registry'>;
 
   constructor(runtime: Pick<Runtime, 'now' | 'log' | 'registry'>) {
@@ -32,7 +32,7 @@
     const { log, now } = this.#runtime;
     log.info({ event: 'rest', endpoint: endpoint.id, restMs, request }, 'an endpoint wants rest');
     if (restMs !== 'unreadable') {
-      this.replace(takeRest(this.paces, incarnationKeyOf(endpoint), restMs, now()));
+      this.replace(recordBackoff(this.paces, incarnationKeyOf(endpoint), restMs, now()));
     }
   }
 
@@ -42,6 +42,6 @@
   }
 
   tick(): void {
-    this.replace(dropRested(this.paces, this.#runtime.now()));
+    this.replace(dropExpiredBackoffs(this.paces, this.#runtime.now()));
   }
 }
--- a/src/daemon/direct/DirectStartup.ts
+++ b/src/daemon/direct/DirectStartup.ts
@@ -1,6 +1,6 @@
 /** Requests that wait at an entry process which has just started, until it has what they need. */
 import { setTimeout as delay } from 'node:timers/promises';
-import { startupWait } from '../../coordination/index.js';
+import { startupWaitMs } from '../../coordination/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 
 /** Requests that wait at most, so that a flood fills neither memory nor descriptors; more are refused at once. */
@@ -52,7 +52,7 @@
     signal: AbortSignal,
   ): Promise<void> {
     const now = this.#now();
-    const waitMs = startupWait(now - this.#startedAt, now - cameAt, deadlineMs);
+    const waitMs = startupWaitMs(now - this.#startedAt, now - cameAt, deadlineMs);
     const isFull = this.#waiting.size >= MOST_WAITING;
     if (waitMs === 0 || isFull || isMet() || this.#isOver || signal.aborted) {
       return;
--- a/src/daemon/direct/DirectStreams.ts
+++ b/src/daemon/direct/DirectStreams.ts
@@ -55,10 +55,10 @@
     if (owing.length === 0) {
       return [];
     }
-    const groupHeardAt = this.at(endpoints).eventAt;
+    const groupHeardAt = this.at(endpoints).lastEventAt;
     return owing.filter((endpoint) => {
       const { sentAt, shunnedUntil } = this.#unanswered.get(endpoint) ?? NONE_UNANSWERED;
-      const heardAt = this.#streams.get(endpoint)?.eventAt ?? -Infinity;
+      const heardAt = this.#streams.get(endpoint)?.lastEventAt ?? -Infinity;
       const [oldest = Infinity] = sentAt;
       const waits = groupHeardAt - Math.max(oldest, heardAt) > SILENT_ENDPOINT_MS;
       return now < shunnedUntil || waits;
@@ -67,8 +67,8 @@
 
   /** An event has come; `begins` where it is a stream's first. */
   onEvent(endpoint: string, begins: boolean, now: number): void {
-    const writing = (this.#streams.get(endpoint)?.writing ?? 0) + Number(begins);
-    this.#streams.set(endpoint, { writing, eventAt: now });
+    const writing = (this.#streams.get(endpoint)?.writingCount ?? 0) + Number(begins);
+    this.#streams.set(endpoint, { writingCount: writing, lastEventAt: now });
     const { sentAt } = this.#unanswered.get(endpoint) ?? NONE_UNANSWERED;
     const left = begins ? sentAt.slice(1) : sentAt;
     if (left.length > 0) {
@@ -81,8 +81,8 @@
   /** A stream that had begun is over. */
   onOver(endpoint: string): void {
     const known = this.#streams.get(endpoint);
-    if (known !== undefined && known.writing > 1) {
-      this.#streams.set(endpoint, { ...known, writing: known.writing - 1 });
+    if (known !== undefined && known.writingCount > 1) {
+      this.#streams.set(endpoint, { ...known, writingCount: known.writingCount - 1 });
     } else {
       this.#streams.delete(endpoint);
     }
@@ -92,8 +92,8 @@
   at(endpoints: readonly string[]): OwnStreams {
     const streams = endpoints.flatMap((endpoint) => this.#streams.get(endpoint) ?? []);
     return {
-      writing: streams.reduce((sum, { writing }) => sum + writing, 0),
-      eventAt: Math.max(-Infinity, ...streams.map(({ eventAt }) => eventAt)),
+      writingCount: streams.reduce((sum, { writingCount }) => sum + writingCount, 0),
+      lastEventAt: Math.max(-Infinity, ...streams.map(({ lastEventAt }) => lastEventAt)),
     };
   }
 }
--- a/src/daemon/direct/DirectTurns.ts
+++ b/src/daemon/direct/DirectTurns.ts
@@ -2,7 +2,7 @@
  * When endpoints that have asked for relief take a request from this entry process: asked before an endpoint is chosen,
  * and right before each send.
  */
-import { endpointIdOf, incarnationKeyOf, type IncarnationKey, type LimitMark } from '../../coordination/index.js';
+import { endpointIdOf, incarnationKeyOf, type IncarnationKey, type LimitTimestamp } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import { DirectLimits, type DirectLimitsOptions } from './DirectLimits.js';
 import { DirectRefusals } from './DirectRefusals.js';
@@ -47,7 +47,7 @@
   }
 
   /** Takes what the head of an endpoint's answer asks for; `sent` marks its request. */
-  onAnswer(endpoint: MemberRecord, head: AnswerHead, request: string, sent: LimitMark): void {
+  onAnswer(endpoint: MemberRecord, head: AnswerHead, request: string, sent: LimitTimestamp): void {
     if (!head.wrongInstance) {
       this.limits.onAnswer(endpoint, sent, head.limit, request);
       this.#rests.onAnswer(endpoint, head.restMs, request);
