--- a/bench/BenchPlacement.ts
+++ b/bench/BenchPlacement.ts
@@ -51,9 +51,9 @@
     decidePlacement(map, estimate, {
       skewWeight,
       stepMs: STEP_MS,
-      lifeSteps: LIFE_STEPS,
+      stableSteps: LIFE_STEPS,
       moveMs: MOVE_MS,
-      mostMoves: ranks,
+      maxMoves: ranks,
       speeds,
     }).map;
 }
--- a/bench/BenchPlan.ts
+++ b/bench/BenchPlan.ts
@@ -3,7 +3,7 @@
   expectedLoad,
   initDemand,
   planMap,
-  takeCounts,
+  recordCounts,
   type ExpertCounts,
 } from '../src/coordination/index.js';
 import { firstMap, PLAN_SIZES, planLoad, type PlanSize } from './BenchPlanLoad.js';
@@ -38,7 +38,7 @@
 ): PlanRun {
   let map = firstMap(size);
   let totals: ExpertCounts = range(size.sets).map(() => range(size.experts).map(() => 0));
-  let demand = takeCounts(initDemand(1), [totals]);
+  let demand = recordCounts(initDemand(1), [totals]);
   const planMs: number[] = [];
   const changeMs: number[] = [];
   const skewBefore: number[] = [];
@@ -46,7 +46,7 @@
   let copies = 0;
   planLoad(size, INTERVALS, seed).forEach((counts) => {
     totals = add(totals, counts);
-    demand = takeCounts(demand, [totals]);
+    demand = recordCounts(demand, [totals]);
     const weights = expectedLoad(demand) ?? [];
     const startedAt = clock();
     const planned = planMap(map, weights, size.shape, size.policy);
--- a/bench/BenchPlanLoad.ts
+++ b/bench/BenchPlanLoad.ts
@@ -17,15 +17,15 @@
 
 /** Groups from the smallest to the largest deployed, and one of the size that is planned for. */
 export const PLAN_SIZES: readonly PlanSize[] = [
-  { ranks: 12, experts: 96, sets: 3, shape: { slotsPerRank: 11, mostNew: 4 } },
-  { ranks: 16, experts: 128, sets: 4, shape: { slotsPerRank: 11, mostNew: 4 } },
-  { ranks: 24, experts: 192, sets: 6, shape: { slotsPerRank: 10, mostNew: 3 } },
-  { ranks: 63, experts: 252, sets: 8, shape: { slotsPerRank: 5, mostNew: 2 } },
-  { ranks: 63, experts: 252, sets: 8, shape: { slotsPerRank: 8, mostNew: 2 } },
-  { ranks: 64, experts: 256, sets: 12, shape: { slotsPerRank: 6, mostNew: 2 } },
+  { ranks: 12, experts: 96, sets: 3, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
+  { ranks: 16, experts: 128, sets: 4, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
+  { ranks: 24, experts: 192, sets: 6, shape: { slotsPerRank: 10, maxNewExperts: 3 } },
+  { ranks: 63, experts: 252, sets: 8, shape: { slotsPerRank: 5, maxNewExperts: 2 } },
+  { ranks: 63, experts: 252, sets: 8, shape: { slotsPerRank: 8, maxNewExperts: 2 } },
+  { ranks: 64, experts: 256, sets: 12, shape: { slotsPerRank: 6, maxNewExperts: 2 } },
 ].map((size) => ({
   ...size,
-  policy: { mostNewPerRank: size.shape.mostNew * size.sets, gainPerCopy: 0.004 },
+  policy: { maxCopiesPerRank: size.shape.maxNewExperts * size.sets, gainPerCopy: 0.004 },
 }));
 
 /** Experts in turn over the ranks, each once. */
--- a/fakes/__tests__/unit/MapChange.test.ts
+++ b/fakes/__tests__/unit/MapCommit.test.ts
@@ -3,14 +3,14 @@
 import fc from 'fast-check';
 import { FakeGroup, type FakeMap, type FakeRankOrder } from '../../FakeGroup.js';
 import {
-  FRESH_ORDER_GATE,
-  initMapChange,
-  judgeOrder,
-  learnToken,
-  settleOrder,
-  stepMapChange,
-  type MapChangeInput,
-  type MapChangeState,
+  INITIAL_ORDER_GATE,
+  initMapCommit,
+  checkOrder,
+  raiseHighestToken,
+  completeOrder,
+  stepMapCommit,
+  type MapCommitInput,
+  type MapCommitState,
   type RankOrder,
 } from '../../../src/coordination/index.js';
 
@@ -30,19 +30,19 @@
 
   orders: Packet[] = [];
 
-  answers: { readonly who: number; readonly input: MapChangeInput }[] = [];
+  answers: { readonly who: number; readonly input: MapCommitInput }[] = [];
 
   now = 0;
 
-  readonly #states: MapChangeState[] = [initMapChange(RANKS), initMapChange(RANKS)];
+  readonly #states: MapCommitState[] = [initMapCommit(RANKS), initMapCommit(RANKS)];
 
   phase(who: number): string {
     return this.#states[who]?.phase ?? '';
   }
 
-  input(who: number, input: MapChangeInput): void {
-    const state = this.#states[who] ?? initMapChange(RANKS);
-    const step = stepMapChange(state, input, this.now);
+  input(who: number, input: MapCommitInput): void {
+    const state = this.#states[who] ?? initMapCommit(RANKS);
+    const step = stepMapCommit(state, input, this.now);
     this.#states[who] = step.state;
     step.outputs.forEach((output) => {
       if (output.type === 'order') {
@@ -149,19 +149,19 @@
   // The gate restarted and forgot the highest token. An order of a coordinator replaced long ago
   // arrives first; it must wait until a quorum has said which token is the highest, and then fail.
   it('passes nothing before it has learned the token', () => {
-    const asked = judgeOrder(FRESH_ORDER_GATE, 3);
+    const asked = checkOrder(INITIAL_ORDER_GATE, 3);
     assert.equal(asked.verdict, 'wait');
-    assert.equal(judgeOrder(learnToken(asked.state, 5), 3).verdict, 'stale');
-    assert.equal(judgeOrder(learnToken(asked.state, 5), 5).verdict, 'pass');
+    assert.equal(checkOrder(raiseHighestToken(asked.state, 5), 3).verdict, 'stale');
+    assert.equal(checkOrder(raiseHighestToken(asked.state, 5), 5).verdict, 'pass');
   });
 
   // The engine ignores tokens, and an old order is still on its way to it. A newer one sent now
   // could overtake it; it waits until the old one was answered.
   it('holds a newer order while an older one is open', () => {
-    const passed = judgeOrder(learnToken(FRESH_ORDER_GATE, 1), 1);
-    const newer = judgeOrder(passed.state, 2);
+    const passed = checkOrder(raiseHighestToken(INITIAL_ORDER_GATE, 1), 1);
+    const newer = checkOrder(passed.state, 2);
     assert.deepEqual([passed.verdict, newer.verdict], ['pass', 'wait']);
-    assert.equal(judgeOrder(newer.state, 1).verdict, 'stale');
-    assert.equal(judgeOrder(settleOrder(newer.state, 1), 2).verdict, 'pass');
+    assert.equal(checkOrder(newer.state, 1).verdict, 'stale');
+    assert.equal(checkOrder(completeOrder(newer.state, 1), 2).verdict, 'pass');
   });
 });
--- a/fakes/__tests__/unit/MapSwitch.test.ts
+++ b/fakes/__tests__/unit/MapSwitch.test.ts
@@ -5,7 +5,7 @@
 import type { EngineOrder, GroupMap } from '../../../src/protocol/index.js';
 import {
   initMapSwitch,
-  PREPARE_MS,
+  PREPARE_TIMEOUT_MS,
   stepMapSwitch,
   type MapSwitchInput,
   type MapSwitchOutput,
@@ -277,9 +277,9 @@
     input({ type: 'gained', token: 1 }, 0);
     report(10);
     input({ type: 'propose', map: [[[1], [2], [3]]] }, 20);
-    report(PREPARE_MS);
+    report(PREPARE_TIMEOUT_MS);
     assert.equal(state.phase, 'preparing');
-    report(PREPARE_MS + 100);
+    report(PREPARE_TIMEOUT_MS + 100);
     assert.equal(state.phase, 'idle');
     assert.ok(outputs.some(({ type }) => type === 'abandoned'));
   });
--- a/src/coordination/DemandCounts.ts
+++ b/src/coordination/DemandCounts.ts
@@ -14,28 +14,28 @@
   readonly sets: readonly Uint8Array[];
 }
 
-const MOST_STEPS = 255;
+const MAX_PACKED_COUNT = 255;
 
 /**
  * Bytes of counts that a coordinator takes in a round. Four rounds a second are 0.13 MB/s, a fifth of the
  * smallest link declared so far; with 1.7 kB a rank it hears 18 of 72 ranks, some 100 requests in progress.
  */
-const ROUND_BYTES = 32_000;
+const MAX_ROUND_BYTES = 32_000;
 
 /** What was chosen between two readings; null where there is no earlier one, or the rank began anew. */
 export function packIncrements(
-  before: ExpertCounts | null,
-  now: ExpertCounts,
+  previous: ExpertCounts | null,
+  current: ExpertCounts,
 ): PackedCounts | null {
-  if (before === null) {
+  if (previous === null) {
     return null;
   }
-  const increments = now.map((set, s) => set.map((count, e) => count - (before[s]?.[e] ?? 0)));
+  const increments = current.map((set, s) => set.map((count, e) => count - (previous[s]?.[e] ?? 0)));
   if (increments.some((set) => set.some((count) => count < 0))) {
     return null;
   }
-  const most = Math.max(0, ...increments.map((set) => Math.max(0, ...set)));
-  const unit = Math.max(1, most / MOST_STEPS);
+  const largest = Math.max(0, ...increments.map((set) => Math.max(0, ...set)));
+  const unit = Math.max(1, largest / MAX_PACKED_COUNT);
   return {
     unit,
     sets: increments.map((set) => Uint8Array.from(set, (count) => Math.round(count / unit))),
@@ -50,8 +50,8 @@
   return sets.map((set, s) => {
     // Filled by index: taken one by one from an iterator, the counts of a round took twice as long as its sums.
     const sums = totals?.[s]?.slice() ?? new Array<number>(set.length).fill(0);
-    set.forEach((steps, e) => {
-      sums[e] = (sums[e] ?? 0) + steps * unit;
+    set.forEach((packedCount, e) => {
+      sums[e] = (sums[e] ?? 0) + packedCount * unit;
     });
     return sums;
   });
@@ -61,7 +61,7 @@
  * Ranks whose counts are read, evenly spread: requests come to all ranks alike, so that a part of them
  * tells the demand. Always the same ranks, for counts of a round must be of the same time.
  */
-export function countedRanks(ranks: number, expertsInAll: number): ReadonlySet<number> {
-  const most = Math.max(1, Math.min(ranks, Math.floor(ROUND_BYTES / Math.max(1, expertsInAll))));
-  return new Set(Array.from({ length: most }, (_item, i) => Math.floor((i * ranks) / most)));
+export function sampledRanks(ranks: number, totalExperts: number): ReadonlySet<number> {
+  const sampleSize = Math.max(1, Math.min(ranks, Math.floor(MAX_ROUND_BYTES / Math.max(1, totalExperts))));
+  return new Set(Array.from({ length: sampleSize }, (_item, i) => Math.floor((i * ranks) / sampleSize)));
 }
--- a/src/coordination/DemandEstimate.ts
+++ b/src/coordination/DemandEstimate.ts
@@ -17,15 +17,15 @@
   /** Newest last; all of them are from after the last shift. */
   readonly intervals: readonly Interval[];
   /** Cumulative counts last read, by rank; null where there is none to compare with. */
-  readonly last: readonly (ExpertCounts | null)[];
+  readonly lastTotals: readonly (ExpertCounts | null)[];
   /** Shifts seen. */
   readonly shifts: number;
   /** Part of the choices that usually moves from one interval to the next; null where it isn't known. */
-  readonly usualMove: number | null;
+  readonly averageDrift: number | null;
 }
 
 /** Intervals kept: with four a second these are about one and a half seconds of demand. */
-const MOST_INTERVALS = 6;
+const MAX_INTERVALS = 6;
 
 /** Weight of an interval relative to the next newer one. */
 const DECAY = 0.8;
@@ -34,36 +34,36 @@
  * Part of the choices that must have moved between two intervals to be taken for a shift, whatever is usual.
  * In a small group requests that come and go move 0.1 to 0.2 in a quarter of a second.
  */
-const SHIFT_DISTANCE = 0.28;
+const MAX_SHIFT_THRESHOLD = 0.28;
 
 /** No less than this is taken for a shift. */
-const LEAST_SHIFT = 0.1;
+const MIN_SHIFT_THRESHOLD = 0.1;
 
 /** Times the usual move that a shift is. */
-const OVER_USUAL = 2.5;
+const SHIFT_FACTOR = 2.5;
 
 /** Weight of the newest move in the usual one. */
-const MOVE_WEIGHT = 0.2;
+const DRIFT_WEIGHT = 0.2;
 
 /** An interval with fewer choices says nothing. */
-const LEAST_TOTAL = 2_000;
+const MIN_TOTAL = 2_000;
 
 /** Nothing seen. */
 export function initDemand(ranks: number): DemandState {
   return {
     intervals: [],
-    last: Array.from({ length: ranks }, () => null),
+    lastTotals: Array.from({ length: ranks }, () => null),
     shifts: 0,
-    usualMove: null,
+    averageDrift: null,
   };
 }
 
-function sumOf(counts: ExpertCounts): number {
+function sumCounts(counts: ExpertCounts): number {
   return counts.reduce((sum, set) => sum + set.reduce((part, count) => part + count, 0), 0);
 }
 
 /** Half of the summed differences of shares, over all sets: 0 for equal, 1 for disjoint demand. */
-function distance(a: Interval, b: Interval): number {
+function totalVariation(a: Interval, b: Interval): number {
   const perSet = a.counts.map((set, i) => {
     const other = b.counts[i] ?? [];
     const totalA = Math.max(
@@ -86,10 +86,10 @@
  * What moved between two intervals, as if both were of as many ranks: the requests of a few spread wider. Up to half
  * of the choices may be lacking for other reasons, such as longer passes.
  */
-function moveBetween(before: Interval, after: Interval): number {
-  const most = Math.max(before.total, after.total);
-  const least = Math.min(before.total, after.total);
-  return distance(before, after) * Math.sqrt(Math.min(1, (2 * least) / most));
+function driftBetween(before: Interval, after: Interval): number {
+  const larger = Math.max(before.total, after.total);
+  const smaller = Math.min(before.total, after.total);
+  return totalVariation(before, after) * Math.sqrt(Math.min(1, (2 * smaller) / larger));
 }
 
 /**
@@ -97,57 +97,57 @@
  * two thirds of the demand moves 0.2 of the choices at once, and requests that come and go much less. One amid an
  * interval shows by half in each of two, so that two intervals back counts too.
  */
-function isShift({ intervals, usualMove }: DemandState, interval: Interval): boolean {
-  const usual = usualMove ?? SHIFT_DISTANCE;
-  const bound = Math.min(SHIFT_DISTANCE, Math.max(LEAST_SHIFT, OVER_USUAL * usual));
+function isShift({ intervals, averageDrift }: DemandState, interval: Interval): boolean {
+  const expectedDrift = averageDrift ?? MAX_SHIFT_THRESHOLD;
+  const threshold = Math.min(MAX_SHIFT_THRESHOLD, Math.max(MIN_SHIFT_THRESHOLD, SHIFT_FACTOR * expectedDrift));
   const newest = intervals.at(-1);
   return (
-    (newest !== undefined && distance(newest, interval) > SHIFT_DISTANCE) ||
-    intervals.slice(-2).some((before) => moveBetween(before, interval) > bound)
+    (newest !== undefined && totalVariation(newest, interval) > MAX_SHIFT_THRESHOLD) ||
+    intervals.slice(-2).some((before) => driftBetween(before, interval) > threshold)
   );
 }
 
 function addInterval(state: DemandState, interval: Interval): DemandState {
-  const { intervals, shifts, usualMove } = state;
+  const { intervals, shifts, averageDrift } = state;
   if (isShift(state, interval)) {
     return { ...state, intervals: [interval], shifts: shifts + 1 };
   }
   const newest = intervals.at(-1);
-  const move = newest === undefined ? usualMove : moveBetween(newest, interval);
-  const mixed = move === null ? null : (usualMove ?? move) * (1 - MOVE_WEIGHT) + move * MOVE_WEIGHT;
-  const kept = intervals.slice(1 - MOST_INTERVALS);
-  return { ...state, intervals: [...kept, interval], usualMove: mixed };
+  const drift = newest === undefined ? averageDrift : driftBetween(newest, interval);
+  const nextAverage = drift === null ? null : (averageDrift ?? drift) * (1 - DRIFT_WEIGHT) + drift * DRIFT_WEIGHT;
+  const kept = intervals.slice(1 - MAX_INTERVALS);
+  return { ...state, intervals: [...kept, interval], averageDrift: nextAverage };
 }
 
 /**
  * Takes the cumulative counts of the ranks, null for one that didn't answer. Counts that went back
  * are those of a rank that has restarted, and only set a new start.
  */
-export function takeCounts(
+export function recordCounts(
   state: DemandState,
   counts: readonly (ExpertCounts | null)[],
 ): DemandState {
-  const deltas = counts.flatMap((now, rank) => {
-    const before = state.last[rank] ?? null;
-    if (now === null || before === null) {
+  const deltas = counts.flatMap((current, rank) => {
+    const previous = state.lastTotals[rank] ?? null;
+    if (current === null || previous === null) {
       return [];
     }
-    const delta = now.map((set, s) => set.map((count, e) => count - (before[s]?.[e] ?? 0)));
+    const delta = current.map((set, s) => set.map((count, e) => count - (previous[s]?.[e] ?? 0)));
     return delta.some((set) => set.some((count) => count < 0)) ? [] : [delta];
   });
-  const last = counts.map((now, rank) => now ?? state.last[rank] ?? null);
+  const lastTotals = counts.map((now, rank) => now ?? state.lastTotals[rank] ?? null);
   const [first] = deltas;
   if (first === undefined) {
-    return { ...state, last };
+    return { ...state, lastTotals };
   }
   const sum = first.map((set, s) =>
     set.map((_count, e) => deltas.reduce((total, delta) => total + (delta[s]?.[e] ?? 0), 0)),
   );
-  const interval: Interval = { counts: sum, total: sumOf(sum) };
-  if (interval.total < LEAST_TOTAL) {
-    return { ...state, last };
+  const interval: Interval = { counts: sum, total: sumCounts(sum) };
+  if (interval.total < MIN_TOTAL) {
+    return { ...state, lastTotals };
   }
-  return { ...addInterval(state, interval), last };
+  return { ...addInterval(state, interval), lastTotals };
 }
 
 /** Expected share of each expert's load, by set; null before anything was seen. */
@@ -173,13 +173,13 @@
 export type PackedDemand = readonly Uint8Array[];
 
 /** Largest packed share; the hottest expert of a set has it. */
-const PACKED_MAX = 255;
+const MAX_PACKED_SHARE = 255;
 
 /** Packs expected shares; one expert in 255 of the hottest is the finest difference kept. */
 export function packDemand(weights: readonly (readonly number[])[]): PackedDemand {
   return weights.map((set) => {
-    const most = Math.max(...set, Number.MIN_VALUE);
-    return Uint8Array.from(set, (weight) => Math.round((weight / most) * PACKED_MAX));
+    const largest = Math.max(...set, Number.MIN_VALUE);
+    return Uint8Array.from(set, (weight) => Math.round((weight / largest) * MAX_PACKED_SHARE));
   });
 }
 
@@ -193,9 +193,9 @@
  */
 export function adoptDemand(state: DemandState, packed: PackedDemand): DemandState {
   const sums = packed.map((set) => set.reduce((sum, share) => sum + share, 0));
-  const perSet = LEAST_TOTAL / Math.max(1, packed.length);
+  const perSet = MIN_TOTAL / Math.max(1, packed.length);
   const counts = packed.map((set, s) =>
     Array.from(set, (share) => (share / Math.max(1, sums[s] ?? 1)) * perSet),
   );
-  return { ...state, intervals: [{ counts, total: LEAST_TOTAL }] };
+  return { ...state, intervals: [{ counts, total: MIN_TOTAL }] };
 }
--- a/src/coordination/EngineModel.ts
+++ b/src/coordination/EngineModel.ts
@@ -6,24 +6,24 @@
 import type { EngineCosts } from '../protocol/index.js';
 
 /** Correction while nothing was observed: even maps and usual prompts make passes a third longer. */
-export const USUAL_CORRECTION = 1.3;
+export const DEFAULT_PASS_CORRECTION = 1.3;
 
 /** Most that an observed pass may differ from the declared costs: beyond it the figure is a fault. */
-const MOST_CORRECTION = 20;
+const MAX_PASS_CORRECTION = 20;
 
 /** Tokens of context that a writer has, on average half through its answer. */
-function contextOf(costs: EngineCosts): number {
+function averageContext(costs: EngineCosts): number {
   return costs.usualPrompt + costs.usualAnswer / 2;
 }
 
 /** ms that each writer adds to a token step at its rank. */
-function writerCost(costs: EngineCosts): number {
-  return costs.writerMs + (costs.contextMsPerK * contextOf(costs)) / 1_000;
+function writerStepMs(costs: EngineCosts): number {
+  return costs.writerMs + (costs.contextMsPerK * averageContext(costs)) / 1_000;
 }
 
 /** Time of a pass with so many writers on each rank, by the declared costs, ms. */
 export function passTime(costs: EngineCosts, writers: number): number {
-  return costs.stepsPerPass * (costs.stepMs + writerCost(costs) * writers);
+  return costs.stepsPerPass * (costs.stepMs + writerStepMs(costs) * writers);
 }
 
 /** Observed over declared time of a pass. */
@@ -33,9 +33,9 @@
   observedMs: number | null,
 ): number {
   if (observedMs === null) {
-    return USUAL_CORRECTION;
+    return DEFAULT_PASS_CORRECTION;
   }
-  return Math.min(MOST_CORRECTION, Math.max(1, observedMs / passTime(costs, writers)));
+  return Math.min(MAX_PASS_CORRECTION, Math.max(1, observedMs / passTime(costs, writers)));
 }
 
 /**
@@ -43,17 +43,17 @@
  * ranks wait for it, set by set. Worked out for ranks full of writers, where it matters.
  */
 export function skewCorrection(costs: EngineCosts, skew: number): number {
-  const writing = writerCost(costs) * costs.slots;
-  const waiting = writing * costs.expertShare * Math.max(0, skew - 1);
-  return 1 + waiting / (costs.stepMs + writing);
+  const writersMs = writerStepMs(costs) * costs.slots;
+  const skewMs = writersMs * costs.expertShare * Math.max(0, skew - 1);
+  return 1 + skewMs / (costs.stepMs + writersMs);
 }
 
 /** Writers on each rank that keep a pass under a time; may be a fraction, and below 0. */
-export function writersWithin(costs: EngineCosts, correction: number, ms: number): number {
-  return (ms / (correction * costs.stepsPerPass) - costs.stepMs) / writerCost(costs);
+export function maxWritersFor(costs: EngineCosts, correction: number, ms: number): number {
+  return (ms / (correction * costs.stepsPerPass) - costs.stepMs) / writerStepMs(costs);
 }
 
 /** Time that an answer of so many tokens takes to write, ms. */
-export function writeTime(costs: EngineCosts, tokens: number, passMs: number): number {
+export function generationTime(costs: EngineCosts, tokens: number, passMs: number): number {
   return Math.ceil(tokens / costs.stepsPerPass) * passMs;
 }
--- a/src/coordination/GroupSlots.ts
+++ b/src/coordination/GroupSlots.ts
@@ -11,8 +11,8 @@
   passCorrection,
   passTime,
   skewCorrection,
-  USUAL_CORRECTION,
-  writersWithin,
+  DEFAULT_PASS_CORRECTION,
+  maxWritersFor,
 } from './EngineModel.js';
 
 /** One rank's endpoint. */
@@ -68,7 +68,7 @@
 
 /** Writers on each rank that the costs and the passes observed allow. */
 function maxWriters({ costs, pauseMs }: SlotParameters, correction: number): number {
-  const within = writersWithin(costs, correction, pauseMs * MAX_PASS_SHARE);
+  const within = maxWritersFor(costs, correction, pauseMs * MAX_PASS_SHARE);
   return Math.min(costs.slots, Math.max(MIN_WRITERS, within));
 }
 
@@ -78,7 +78,7 @@
   ranks: readonly GroupRank[],
   rules: SlotParameters,
 ): GroupSlots {
-  const limit = ranks.length * maxWriters(rules, USUAL_CORRECTION);
+  const limit = ranks.length * maxWriters(rules, DEFAULT_PASS_CORRECTION);
   return {
     group,
     ranks,
@@ -134,7 +134,7 @@
     ownAtLoad: new Map(own),
     allowance: Math.floor(kept + part + random),
     limit,
-    passMs: load.passMs ?? passTime(rules.costs, writers) * USUAL_CORRECTION,
+    passMs: load.passMs ?? passTime(rules.costs, writers) * DEFAULT_PASS_CORRECTION,
   };
 }
 
--- a/src/coordination/MapChange.ts
+++ b/src/coordination/MapCommit.ts
@@ -8,7 +8,7 @@
 export const ORDER_RETRY_MS = 500;
 
 /** A rank that hasn't prepared or armed after this long ends the change. In ms. */
-export const CHANGE_LIMIT_MS = 60_000;
+export const CHANGE_TIMEOUT_MS = 60_000;
 
 /** Steps between arming and use: enough for the orders to arrive without holding up the group. */
 export const ARM_AHEAD_STEPS = 32;
@@ -36,13 +36,13 @@
 }
 
 /** Where a change stands. */
-export type MapChangePhase =
+export type MapCommitPhase =
   'idle' | 'learning' | 'ready' | 'preparing' | 'arming' | 'committing' | 'aborting';
 
 /** What a coordinator knows. */
-export interface MapChangeState {
+export interface MapCommitState {
   readonly ranks: number;
-  readonly phase: MapChangePhase;
+  readonly phase: MapCommitPhase;
   readonly token: number;
   /** Version in use, or being taken into use. */
   readonly version: number;
@@ -50,7 +50,7 @@
    * Highest version ever proposed. A version is never used twice: a late answer to an aborted
    * attempt would else count for the next, and `commit` be sent though a rank isn't armed.
    */
-  readonly attempted: number;
+  readonly highestProposed: number;
   readonly step: number;
   /** Last status of each rank in this phase; null for one that hasn't answered. */
   readonly answers: readonly (RankStatus | null)[];
@@ -59,7 +59,7 @@
 }
 
 /** What goes in. */
-export type MapChangeInput =
+export type MapCommitInput =
   | { readonly type: 'gained'; readonly token: number }
   | { readonly type: 'lost' }
   | { readonly type: 'propose' }
@@ -74,26 +74,26 @@
   | { readonly type: 'tick' };
 
 /** What comes out. */
-export type MapChangeOutput =
+export type MapCommitOutput =
   | { readonly type: 'order'; readonly rank: number; readonly order: RankOrder }
   | { readonly type: 'ready'; readonly version: number }
   | { readonly type: 'changed'; readonly version: number }
   | { readonly type: 'aborted'; readonly version: number };
 
 /** New state and outputs of a step. */
-export interface MapChangeStep {
-  readonly state: MapChangeState;
-  readonly outputs: readonly MapChangeOutput[];
+export interface MapCommitStep {
+  readonly state: MapCommitState;
+  readonly outputs: readonly MapCommitOutput[];
 }
 
 /** A coordinator without a lease. */
-export function initMapChange(ranks: number): MapChangeState {
+export function initMapCommit(ranks: number): MapCommitState {
   return {
     ranks,
     phase: 'idle',
     token: 0,
     version: 0,
-    attempted: 0,
+    highestProposed: 0,
     step: 0,
     answers: Array.from({ length: ranks }, () => null),
     startedAt: 0,
@@ -101,7 +101,7 @@
   };
 }
 
-const ORDER_OF: Readonly<Partial<Record<MapChangePhase, RankOrderKind>>> = {
+const ORDER_KIND_BY_PHASE: Readonly<Partial<Record<MapCommitPhase, RankOrderKind>>> = {
   learning: 'query',
   preparing: 'prepare',
   arming: 'arm',
@@ -110,8 +110,8 @@
 };
 
 /** Orders to the ranks that haven't answered in this phase. */
-function orders(state: MapChangeState): readonly MapChangeOutput[] {
-  const kind = ORDER_OF[state.phase];
+function pendingOrders(state: MapCommitState): readonly MapCommitOutput[] {
+  const kind = ORDER_KIND_BY_PHASE[state.phase];
   if (kind === undefined) {
     return [];
   }
@@ -126,17 +126,17 @@
   );
 }
 
-function enter(state: MapChangeState, phase: MapChangePhase, now: number): MapChangeStep {
-  const next: MapChangeState = {
+function enterPhase(state: MapCommitState, phase: MapCommitPhase, now: number): MapCommitStep {
+  const next: MapCommitState = {
     ...state,
     phase,
     answers: state.answers.map(() => null),
     sentAt: now,
   };
-  return { state: next, outputs: orders(next) };
+  return { state: next, outputs: pendingOrders(next) };
 }
 
-function known(state: MapChangeState): readonly RankStatus[] {
+function receivedStatuses(state: MapCommitState): readonly RankStatus[] {
   return state.answers.filter((answer): answer is RankStatus => answer !== null);
 }
 
@@ -148,64 +148,64 @@
  * Enough: a new coordinator asks all ranks first, which also makes them refuse the old token; if any
  * has committed, all were armed, so all can be committed; if none has, nobody can any more.
  */
-function afterLearning(state: MapChangeState, now: number): MapChangeStep {
-  const all = known(state);
+function recoverChange(state: MapCommitState, now: number): MapCommitStep {
+  const all = receivedStatuses(state);
   const newest = Math.max(
     ...all.map(({ version, committed }) => Math.max(version, committed ?? 0)),
   );
-  const open = Math.max(
+  const unfinished = Math.max(
     0,
     ...all.map(({ armed, prepared }) => Math.max(armed ?? 0, prepared ?? 0)),
   );
-  const attempted = Math.max(newest, open);
+  const highestProposed = Math.max(newest, unfinished);
   if (all.some(({ version }) => version < newest)) {
-    return enter({ ...state, attempted, version: newest }, 'committing', now);
+    return enterPhase({ ...state, highestProposed, version: newest }, 'committing', now);
   }
-  if (open > newest) {
-    const allArmed = all.every(({ armed }) => armed === open);
+  if (unfinished > newest) {
+    const allArmed = all.every(({ armed }) => armed === unfinished);
     const phase = allArmed ? 'committing' : 'aborting';
-    return enter({ ...state, attempted, version: open }, phase, now);
+    return enterPhase({ ...state, highestProposed, version: unfinished }, phase, now);
   }
   return {
-    state: { ...state, phase: 'ready', attempted, version: newest },
+    state: { ...state, phase: 'ready', highestProposed, version: newest },
     outputs: [{ type: 'ready', version: newest }],
   };
 }
 
-function afterPreparing(state: MapChangeState, now: number): MapChangeStep {
-  const step = Math.max(...known(state).map((status) => status.step)) + ARM_AHEAD_STEPS;
-  return enter({ ...state, step }, 'arming', now);
+function chooseArmStep(state: MapCommitState, now: number): MapCommitStep {
+  const step = Math.max(...receivedStatuses(state).map((status) => status.step)) + ARM_AHEAD_STEPS;
+  return enterPhase({ ...state, step }, 'arming', now);
 }
 
-type After = (state: MapChangeState, now: number) => MapChangeStep;
+type PhaseCompletion = (state: MapCommitState, now: number) => MapCommitStep;
 
 /** What follows once all ranks have answered. */
-const AFTER: Readonly<Partial<Record<MapChangePhase, After>>> = {
-  learning: afterLearning,
-  preparing: afterPreparing,
-  arming: (state, now) => enter(state, 'committing', now),
+const COMPLETE_PHASE: Readonly<Partial<Record<MapCommitPhase, PhaseCompletion>>> = {
+  learning: recoverChange,
+  preparing: chooseArmStep,
+  arming: (state, now) => enterPhase(state, 'committing', now),
   committing: (state) => ({
     state: { ...state, phase: 'ready' },
     outputs: [{ type: 'changed', version: state.version }],
   }),
   aborting: (state) => ({
-    state: { ...state, phase: 'ready', version: Math.min(...known(state).map((s) => s.version)) },
+    state: { ...state, phase: 'ready', version: Math.min(...receivedStatuses(state).map((s) => s.version)) },
     outputs: [{ type: 'aborted', version: state.version }],
   }),
 };
 
 function onAnswer(
-  state: MapChangeState,
-  input: Extract<MapChangeInput, { type: 'answer' }>,
+  state: MapCommitState,
+  input: Extract<MapCommitInput, { type: 'answer' }>,
   now: number,
-): MapChangeStep {
+): MapCommitStep {
   const { rank, token, kind, accepted, status } = input;
   // Answers to orders of an earlier phase or an earlier coordinator say nothing about this one.
-  if (token !== state.token || kind !== ORDER_OF[state.phase]) {
+  if (token !== state.token || kind !== ORDER_KIND_BY_PHASE[state.phase]) {
     return { state, outputs: [] };
   }
   if (!accepted && (state.phase === 'preparing' || state.phase === 'arming')) {
-    return enter(state, 'aborting', now);
+    return enterPhase(state, 'aborting', now);
   }
   const done = accepted || (state.phase === 'committing' && status.version >= state.version);
   if (!done) {
@@ -215,38 +215,38 @@
   const next = { ...state, answers };
   return answers.includes(null)
     ? { state: next, outputs: [] }
-    : (AFTER[state.phase]?.(next, now) ?? { state: next, outputs: [] });
+    : (COMPLETE_PHASE[state.phase]?.(next, now) ?? { state: next, outputs: [] });
 }
 
 /** A rank that dies before all are armed leaves the old map in force; after that, all must commit. */
-function onTick(state: MapChangeState, now: number): MapChangeStep {
-  const early = state.phase === 'preparing' || state.phase === 'arming';
-  if (early && now - state.startedAt > CHANGE_LIMIT_MS) {
-    return enter(state, 'aborting', now);
+function onTick(state: MapCommitState, now: number): MapCommitStep {
+  const mayAbort = state.phase === 'preparing' || state.phase === 'arming';
+  if (mayAbort && now - state.startedAt > CHANGE_TIMEOUT_MS) {
+    return enterPhase(state, 'aborting', now);
   }
   return now - state.sentAt >= ORDER_RETRY_MS
-    ? { state: { ...state, sentAt: now }, outputs: orders(state) }
+    ? { state: { ...state, sentAt: now }, outputs: pendingOrders(state) }
     : { state, outputs: [] };
 }
 
 type Handlers = {
-  readonly [T in MapChangeInput['type']]: (
-    state: MapChangeState,
-    input: Extract<MapChangeInput, { type: T }>,
+  readonly [T in MapCommitInput['type']]: (
+    state: MapCommitState,
+    input: Extract<MapCommitInput, { type: T }>,
     now: number,
-  ) => MapChangeStep;
+  ) => MapCommitStep;
 };
 
 const HANDLERS: Handlers = {
-  gained: (state, { token }, now) => enter({ ...state, token }, 'learning', now),
+  gained: (state, { token }, now) => enterPhase({ ...state, token }, 'learning', now),
   lost: (state) => ({ state: { ...state, phase: 'idle' }, outputs: [] }),
   propose: (state, _input, now) =>
     state.phase === 'ready'
-      ? enter(
+      ? enterPhase(
           {
             ...state,
-            version: state.attempted + 1,
-            attempted: state.attempted + 1,
+            version: state.highestProposed + 1,
+            highestProposed: state.highestProposed + 1,
             startedAt: now,
           },
           'preparing',
@@ -258,15 +258,15 @@
 };
 
 /** One step of a coordinator. */
-export function stepMapChange(
-  state: MapChangeState,
-  input: MapChangeInput,
+export function stepMapCommit(
+  state: MapCommitState,
+  input: MapCommitInput,
   now: number,
-): MapChangeStep {
+): MapCommitStep {
   const handler = HANDLERS[input.type] as (
-    state: MapChangeState,
-    input: MapChangeInput,
+    state: MapCommitState,
+    input: MapCommitInput,
     now: number,
-  ) => MapChangeStep;
+  ) => MapCommitStep;
   return handler(state, input, now);
 }
--- a/src/coordination/MapDiff.ts
+++ b/src/coordination/MapDiff.ts
@@ -12,8 +12,8 @@
 export function diffMap(before: GroupMap, after: GroupMap): readonly MapRow[] {
   return after.flatMap((ranks, set) =>
     ranks.flatMap((experts, rank) => {
-      const known = before[set]?.[rank] ?? [];
-      const same = known.length === experts.length && known.every((id, i) => id === experts[i]);
+      const previous = before[set]?.[rank] ?? [];
+      const same = previous.length === experts.length && previous.every((id, i) => id === experts[i]);
       return same ? [] : [{ set, rank, experts }];
     }),
   );
--- a/src/coordination/MapPlan.ts
+++ b/src/coordination/MapPlan.ts
@@ -12,19 +12,19 @@
   /** Experts that a rank holds at most, a set. */
   readonly slotsPerRank: number;
   /** Experts new to a rank that one change may bring, a set. */
-  readonly mostNew: number;
+  readonly maxNewExperts: number;
 }
 
 /** What a change must be worth. */
 export interface MapPolicy {
   /** Experts new to one rank over all sets: copying them takes the time until the switch. */
-  readonly mostNewPerRank: number;
+  readonly maxCopiesPerRank: number;
   /** Part of the mean load that each copied expert must take off the most loaded rank; without end for no change. */
   readonly gainPerCopy: number;
 }
 
 /** A planned map with the figures that its log line needs. */
-export interface MapPlanned {
+export interface PlannedMap {
   readonly map: GroupMap;
   /** Experts that ranks must copy. */
   readonly copies: number;
@@ -34,35 +34,35 @@
 }
 
 /** Most changes of one set in one plan; each rank may take a few. */
-const MOST_CHANGES = 64;
+const MAX_CHANGES_PER_SET = 64;
 
 function meanSkew(sets: readonly MapPlanSet[]): number {
   return sets.reduce((sum, { skew }) => sum + skew, 0) / sets.length;
 }
 
 /** The most uneven of the sets that can still be made more even. */
-function mostUneven(open: ReadonlySet<MapPlanSet>): MapPlanSet | null {
-  return [...open].reduce<MapPlanSet | null>(
+function mostSkewed(candidates: ReadonlySet<MapPlanSet>): MapPlanSet | null {
+  return [...candidates].reduce<MapPlanSet | null>(
     (worst, set) => (worst === null || set.skew > worst.skew ? set : worst),
     null,
   );
 }
 
 /** Changes sets in turn, the most uneven first, until nothing more is worth a copy. */
-function evenOut(
+function balanceSets(
   sets: readonly MapPlanSet[],
   search: MapPlanSearch,
   onCopy: (rank: number) => void,
 ): void {
-  const open = new Set(sets);
-  for (let left = MOST_CHANGES * sets.length; left > 0; left -= 1) {
-    const set = mostUneven(open);
+  const improvable = new Set(sets);
+  for (let changesLeft = MAX_CHANGES_PER_SET * sets.length; changesLeft > 0; changesLeft -= 1) {
+    const set = mostSkewed(improvable);
     if (set === null) {
       return;
     }
     const change = search.find(set);
     if (change === null) {
-      open.delete(set);
+      improvable.delete(set);
     } else {
       set.apply(change).forEach(onCopy);
     }
@@ -77,28 +77,28 @@
  * at half its speed with an even share makes the experts' part of each pass twice as long; it gets half.
  */
 export function planMap(
-  inUse: GroupMap,
-  weights: readonly (readonly number[])[],
+  currentMap: GroupMap,
+  expertLoads: readonly (readonly number[])[],
   shape: MapShape,
-  { mostNewPerRank, gainPerCopy }: MapPolicy,
-  paces: readonly number[] = [],
-): MapPlanned {
-  const sets = inUse.map((ranks, set) => new MapPlanSet(ranks, weights[set] ?? [], paces));
+  { maxCopiesPerRank, gainPerCopy }: MapPolicy,
+  slowdowns: readonly number[] = [],
+): PlannedMap {
+  const sets = currentMap.map((ranks, set) => new MapPlanSet(ranks, expertLoads[set] ?? [], slowdowns));
   const skewBefore = meanSkew(sets);
   if (gainPerCopy === Infinity) {
-    return { map: inUse, copies: 0, skewBefore, skewAfter: skewBefore };
+    return { map: currentMap, copies: 0, skewBefore, skewAfter: skewBefore };
   }
-  const ranks = inUse[0]?.length ?? 0;
-  const planned = new Uint32Array(ranks);
-  const hasRoom = ({ added }: MapPlanSet, rank: number): boolean =>
-    (added[rank] ?? 0) < shape.mostNew && (planned[rank] ?? 0) < mostNewPerRank;
-  const room = { slotsPerRank: shape.slotsPerRank, hasRoom, gainPerCopy };
-  evenOut(sets, new MapPlanSearch(ranks, room), (rank) => {
-    planned[rank] = (planned[rank] ?? 0) + 1;
+  const ranks = currentMap[0]?.length ?? 0;
+  const plannedCopies = new Uint32Array(ranks);
+  const mayCopy = ({ copiesByRank }: MapPlanSet, rank: number): boolean =>
+    (copiesByRank[rank] ?? 0) < shape.maxNewExperts && (plannedCopies[rank] ?? 0) < maxCopiesPerRank;
+  const limits = { slotsPerRank: shape.slotsPerRank, mayCopy, gainPerCopy };
+  balanceSets(sets, new MapPlanSearch(ranks, limits), (rank) => {
+    plannedCopies[rank] = (plannedCopies[rank] ?? 0) + 1;
   });
   return {
-    map: sets.map((set) => set.ranks.map((experts) => [...experts].sort((a, b) => a - b))),
-    copies: sets.reduce((sum, set) => sum + set.countNew(), 0),
+    map: sets.map((set) => set.expertsByRank.map((experts) => [...experts].sort((a, b) => a - b))),
+    copies: sets.reduce((sum, set) => sum + set.countCopies(), 0),
     skewBefore,
     skewAfter: meanSkew(sets),
   };
--- a/src/coordination/MapSwitch.ts
+++ b/src/coordination/MapSwitch.ts
@@ -10,7 +10,7 @@
  * again and again, and believes reports, never the fate of its orders.
  */
 import type { EngineOrder, RankReport } from '../protocol/index.js';
-import { fullView, ORDER_OF } from './MapSwitchOrders.js';
+import { completeReports, ORDER_BY_PHASE } from './MapSwitchOrders.js';
 import type {
   MapSwitchInput,
   MapSwitchOutput,
@@ -26,7 +26,7 @@
 export const LOSSY_LEAD_PASSES = 8;
 
 /** Orders without an answer after which the way is taken for lossy. */
-const LOSSY = 3;
+const LOSSY_UNANSWERED_ORDERS = 3;
 
 /** An order without an answer is sent again after this long, ms. */
 export const RESEND_MS = 120;
@@ -35,48 +35,48 @@
 export const RESEND_MAP_MS = 1_500;
 
 /** A version that isn't prepared on all ranks after this long won't be: copying takes under 1 s. In ms. */
-export const PREPARE_MS = 4_000;
+export const PREPARE_TIMEOUT_MS = 4_000;
 
 /** Versions of one token; a new token's versions are all higher. */
 export const VERSIONS_PER_TOKEN = 100_000;
 
 /** A coordinator without a lease. */
-export function initMapSwitch(ranks: number, own: number): MapSwitchState {
+export function initMapSwitch(ranks: number, ownRank: number): MapSwitchState {
   return {
     ranks,
-    own,
+    ownRank,
     phase: 'off',
     token: 0,
-    since: 0,
+    validSince: 0,
     epoch: -1,
     reports: Array.from({ length: ranks }, () => null),
     version: 0,
     map: null,
     step: 0,
-    tries: 0,
-    quietUntil: Array.from({ length: ranks }, () => null),
-    unknowns: 0,
+    attempts: 0,
+    nextOrderAt: Array.from({ length: ranks }, () => null),
+    unansweredOrders: 0,
     startedAt: 0,
   };
 }
 
-function enter(state: MapSwitchState, phase: MapSwitchPhase): MapSwitchStep {
+function enterPhase(state: MapSwitchState, phase: MapSwitchPhase): MapSwitchStep {
   return state.phase === phase
     ? { state, outputs: [] }
     : { state: { ...state, phase }, outputs: [{ type: 'phase', phase }] };
 }
 
-function newestStep(reports: readonly RankReport[]): number {
+function latestStep(reports: readonly RankReport[]): number {
   return Math.max(...reports.map(({ step }) => step));
 }
 
-function nextTry(state: MapSwitchState): Pick<MapSwitchState, 'tries' | 'version'> {
-  const tries = state.tries + 1;
-  return { tries, version: state.token * VERSIONS_PER_TOKEN + tries };
+function nextAttempt(state: MapSwitchState): Pick<MapSwitchState, 'attempts' | 'version'> {
+  const attempts = state.attempts + 1;
+  return { attempts, version: state.token * VERSIONS_PER_TOKEN + attempts };
 }
 
 /** All ranks armed for one version and pass: what was begun is as good as done. */
-function isArmedAlike(reports: readonly RankReport[]): boolean {
+function areArmedAlike(reports: readonly RankReport[]): boolean {
   const [first] = reports;
   return reports.every(
     ({ armed }) =>
@@ -93,50 +93,50 @@
  * else the group stays held until every rank has prepared a newer version, after which no late order
  * can arm the old one.
  */
-function onView(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
-  const armed = reports.some((report) => report.armed !== null);
-  const held = reports.some((report) => report.heldStep !== null);
-  if (armed && isArmedAlike(reports)) {
+function recoverChange(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
+  const isArmed = reports.some((report) => report.armed !== null);
+  const isHeld = reports.some((report) => report.heldStep !== null);
+  if (isArmed && areArmedAlike(reports)) {
     const [first] = reports;
     const version = first?.armed?.version ?? 0;
-    return enter({ ...state, version, step: first?.armed?.step ?? 0 }, 'releasing');
+    return enterPhase({ ...state, version, step: first?.armed?.step ?? 0 }, 'releasing');
   }
-  if (armed || held) {
+  if (isArmed || isHeld) {
     const step = reports.find((report) => report.armed !== null)?.armed?.step ?? 0;
-    return enter({ ...state, ...nextTry(state), step }, 'voiding');
+    return enterPhase({ ...state, ...nextAttempt(state), step }, 'voiding');
   }
-  return enter(state, 'idle');
+  return enterPhase(state, 'idle');
 }
 
 /** How long to wait for an order's effect: a whole map takes long on its way, all else is short. */
-function resendMsOf({ phase }: MapSwitchState, order: EngineOrder): number {
+function resendDelay({ phase }: MapSwitchState, order: EngineOrder): number {
   return phase === 'preparing' && order.kind === 'prepare' ? RESEND_MAP_MS : RESEND_MS;
 }
 
-function sendOrders(state: MapSwitchState, now: number): MapSwitchStep {
-  const orderOf = ORDER_OF[state.phase];
-  if (orderOf === undefined) {
+function sendMissingOrders(state: MapSwitchState, now: number): MapSwitchStep {
+  const selectOrder = ORDER_BY_PHASE[state.phase];
+  if (selectOrder === undefined) {
     return { state, outputs: [] };
   }
-  const quietUntil = [...state.quietUntil];
-  const outputs = state.reports.flatMap((seen, rank): readonly MapSwitchOutput[] => {
-    const waits = now < (quietUntil[rank] ?? -Infinity);
-    const valid = seen !== null && seen.at >= state.since && seen.report.epoch === state.epoch;
-    const order = waits || !valid ? null : orderOf(state, seen.report, rank);
+  const nextOrderAt = [...state.nextOrderAt];
+  const outputs = state.reports.flatMap((received, rank): readonly MapSwitchOutput[] => {
+    const isWaiting = now < (nextOrderAt[rank] ?? -Infinity);
+    const isCurrent = received !== null && received.receivedAt >= state.validSince && received.report.epoch === state.epoch;
+    const order = isWaiting || !isCurrent ? null : selectOrder(state, received.report, rank);
     if (order === null) {
       return [];
     }
-    quietUntil[rank] = now + resendMsOf(state, order);
+    nextOrderAt[rank] = now + resendDelay(state, order);
     return [{ type: 'order', rank, order }];
   });
-  return { state: { ...state, quietUntil }, outputs };
+  return { state: { ...state, nextOrderAt }, outputs };
 }
 
 function choosePass(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
-  const lead = state.unknowns >= LOSSY ? LOSSY_LEAD_PASSES : LEAD_PASSES;
+  const leadPasses = state.unansweredOrders >= LOSSY_UNANSWERED_ORDERS ? LOSSY_LEAD_PASSES : LEAD_PASSES;
   // Each pass is used once: a late order for an earlier try must find that it has begun.
-  const step = Math.max(newestStep(reports) + lead, state.step + 1);
-  return enter({ ...state, step }, 'holding');
+  const step = Math.max(latestStep(reports) + leadPasses, state.step + 1);
+  return enterPhase({ ...state, step }, 'holding');
 }
 
 type Advance = (
@@ -147,7 +147,7 @@
 
 const stay: Advance = (state) => ({ state, outputs: [] });
 
-function afterRelease(
+function finishChange(
   state: MapSwitchState,
   reports: readonly RankReport[],
   now: number,
@@ -155,7 +155,7 @@
   if (reports.some(({ mapVersion }) => mapVersion !== state.version)) {
     return { state, outputs: [] };
   }
-  const step = enter({ ...state, unknowns: Math.max(0, state.unknowns - 1) }, 'idle');
+  const step = enterPhase({ ...state, unansweredOrders: Math.max(0, state.unansweredOrders - 1) }, 'idle');
   const { version, startedAt } = state;
   return {
     state: step.state,
@@ -170,8 +170,8 @@
  * and refuses. Symptom: the change is never prepared, and no other begun. Enough: the version is dropped,
  * what the ranks hold is read again, and the next plan starts from there.
  */
-function abandon(state: MapSwitchState): MapSwitchStep {
-  const step = enter(state, 'idle');
+function abandonVersion(state: MapSwitchState): MapSwitchStep {
+  const step = enterPhase(state, 'idle');
   return {
     ...step,
     outputs: [...step.outputs, { type: 'abandoned', version: state.version }],
@@ -180,42 +180,42 @@
 
 /** What follows from a view of all ranks, by phase. */
 const ADVANCE: Readonly<Partial<Record<MapSwitchPhase, Advance>>> = {
-  observing: onView,
+  observing: recoverChange,
   voiding: (state, reports) =>
     reports.every(({ armed, prepared }) => armed === null && prepared === state.version)
-      ? enter(state, 'idle')
+      ? enterPhase(state, 'idle')
       : { state, outputs: [] },
   preparing: (state, reports, now) => {
     if (reports.every(({ prepared }) => prepared === state.version)) {
       return choosePass(state, reports);
     }
-    return now - state.startedAt > PREPARE_MS ? abandon(state) : { state, outputs: [] };
+    return now - state.startedAt > PREPARE_TIMEOUT_MS ? abandonVersion(state) : { state, outputs: [] };
   },
   holding: (state, reports) => {
-    if (reports[state.own]?.heldStep === state.step) {
-      return enter(state, 'arming');
+    if (reports[state.ownRank]?.heldStep === state.step) {
+      return enterPhase(state, 'arming');
     }
-    return newestStep(reports) >= state.step ? choosePass(state, reports) : { state, outputs: [] };
+    return latestStep(reports) >= state.step ? choosePass(state, reports) : { state, outputs: [] };
   },
   arming: (state, reports) => {
     const done = reports.every(
       ({ armed }) => armed?.version === state.version && armed.step === state.step,
     );
-    return done ? enter(state, 'releasing') : { state, outputs: [] };
+    return done ? enterPhase(state, 'releasing') : { state, outputs: [] };
   },
-  releasing: afterRelease,
+  releasing: finishChange,
 };
 
 /** Goes through as many phases as the view allows, then sends what is lacking. */
 function proceed(step: MapSwitchStep, now: number): MapSwitchStep {
   const { state } = step;
-  const reports = fullView(state);
+  const reports = completeReports(state);
   const advanced = reports === null ? null : (ADVANCE[state.phase] ?? stay)(state, reports, now);
   if (advanced !== null && advanced.state.phase !== state.phase) {
-    const fresh = { ...advanced.state, quietUntil: state.quietUntil.map(() => null) };
+    const fresh = { ...advanced.state, nextOrderAt: state.nextOrderAt.map(() => null) };
     return proceed({ state: fresh, outputs: [...step.outputs, ...advanced.outputs] }, now);
   }
-  const sent = sendOrders(advanced?.state ?? state, now);
+  const sent = sendMissingOrders(advanced?.state ?? state, now);
   return { state: sent.state, outputs: [...step.outputs, ...sent.outputs] };
 }
 
@@ -224,13 +224,13 @@
   const next: MapSwitchState = {
     ...state,
     epoch,
-    since: now,
+    validSince: now,
     reports: state.reports.map(() => null),
     step: 0,
     map: null,
-    quietUntil: state.quietUntil.map(() => null),
+    nextOrderAt: state.nextOrderAt.map(() => null),
   };
-  const observing = enter(next, 'observing');
+  const observing = enterPhase(next, 'observing');
   return { ...observing, outputs: [...observing.outputs, { type: 'reset', epoch }] };
 }
 
@@ -244,7 +244,7 @@
   }
   const step: MapSwitchStep =
     report.epoch > state.epoch ? onEpoch(state, report.epoch, now) : { state, outputs: [] };
-  const reports = step.state.reports.map((seen, i) => (i === rank ? { report, at: now } : seen));
+  const reports = step.state.reports.map((received, i) => (i === rank ? { report, receivedAt: now } : received));
   return proceed({ ...step, state: { ...step.state, reports } }, now);
 }
 
@@ -261,21 +261,21 @@
   { token }: Extract<MapSwitchInput, { type: 'gained' }>,
   now: number,
 ): MapSwitchStep {
-  const fresh = initMapSwitch(state.ranks, state.own);
-  const { tries } = state;
-  return enter({ ...fresh, token, tries, since: now }, 'observing');
+  const fresh = initMapSwitch(state.ranks, state.ownRank);
+  const { attempts } = state;
+  return enterPhase({ ...fresh, token, attempts, validSince: now }, 'observing');
 }
 
 function onAnswer(
   state: MapSwitchState,
   { rank, result }: Extract<MapSwitchInput, { type: 'answer' }>,
 ): MapSwitchStep {
-  const unknowns = result === 'unknown' ? Math.min(2 * LOSSY, state.unknowns + 1) : state.unknowns;
+  const unansweredOrders = result === 'unknown' ? Math.min(2 * LOSSY_UNANSWERED_ORDERS, state.unansweredOrders + 1) : state.unansweredOrders;
   // The next report tells whether it is lacking still; one that failed at once isn't repeated at once.
-  const quietUntil = state.quietUntil.map((at, i) =>
+  const nextOrderAt = state.nextOrderAt.map((at, i) =>
     i === rank && result === 'unknown' ? null : at,
   );
-  return { state: { ...state, unknowns, quietUntil }, outputs: [] };
+  return { state: { ...state, unansweredOrders, nextOrderAt }, outputs: [] };
 }
 
 type Handlers = {
@@ -288,7 +288,7 @@
 
 const HANDLERS: Handlers = {
   gained: onGained,
-  lost: (state) => enter(state, 'off'),
+  lost: (state) => enterPhase(state, 'off'),
   report: onReport,
   answer: onAnswer,
   mapInUse: (state, { map }, now) =>
@@ -297,7 +297,7 @@
       : { state, outputs: [] },
   propose: (state, { map }, now) =>
     state.phase === 'idle'
-      ? proceed(enter({ ...state, ...nextTry(state), map, startedAt: now }, 'preparing'), now)
+      ? proceed(enterPhase({ ...state, ...nextAttempt(state), map, startedAt: now }, 'preparing'), now)
       : { state, outputs: [] },
   tick: (state, _input, now) => proceed({ state, outputs: [] }, now),
 };
--- a/src/coordination/MapSwitchOrders.ts
+++ b/src/coordination/MapSwitchOrders.ts
@@ -3,39 +3,39 @@
 import type { MapSwitchPhase, MapSwitchState } from './MapSwitchTypes.js';
 
 /** Reports of all ranks, if each has one of this epoch; null otherwise. */
-export function fullView(state: MapSwitchState): readonly RankReport[] | null {
-  const reports = state.reports.flatMap((seen) =>
-    seen !== null && seen.at >= state.since && seen.report.epoch === state.epoch
-      ? [seen.report]
+export function completeReports(state: MapSwitchState): readonly RankReport[] | null {
+  const reports = state.reports.flatMap((received) =>
+    received !== null && received.receivedAt >= state.validSince && received.report.epoch === state.epoch
+      ? [received.report]
       : [],
   );
   return reports.length === state.ranks && reports.every(({ open }) => open) ? reports : null;
 }
 
-function orderPrepare(state: MapSwitchState, report: RankReport): EngineOrder | null {
+function prepareOrder(state: MapSwitchState, report: RankReport): EngineOrder | null {
   const { epoch, version, map } = state;
   return report.prepared === version || report.copying || map === null
     ? null
     : { kind: 'prepare', epoch, version, map };
 }
 
-type OrderOf = (state: MapSwitchState, report: RankReport, rank: number) => EngineOrder | null;
+type OrderSelector = (state: MapSwitchState, report: RankReport, rank: number) => EngineOrder | null;
 
-function orderVoid(state: MapSwitchState, report: RankReport, rank: number): EngineOrder | null {
+function voidOrder(state: MapSwitchState, report: RankReport, rank: number): EngineOrder | null {
   const { epoch } = state;
-  const reports = fullView(state) ?? [];
-  const held = reports.some(({ heldStep }) => heldStep !== null);
-  if (!held && reports.some(({ armed }) => armed !== null)) {
-    return rank === state.own && report.step < state.step
+  const reports = completeReports(state) ?? [];
+  const isHeld = reports.some(({ heldStep }) => heldStep !== null);
+  if (!isHeld && reports.some(({ armed }) => armed !== null)) {
+    return rank === state.ownRank && report.step < state.step
       ? { kind: 'hold', epoch, step: state.step }
       : null;
   }
   return report.armed === null
-    ? orderPrepare(state, report)
+    ? prepareOrder(state, report)
     : { kind: 'disarm', epoch, version: report.armed.version };
 }
 
-function orderRelease(
+function releaseOrder(
   { epoch }: Pick<MapSwitchState, 'epoch'>,
   { heldStep }: RankReport,
 ): EngineOrder | null {
@@ -43,31 +43,31 @@
 }
 
 /** The order that a rank lacks by its newest report, in each phase. */
-export const ORDER_OF: Readonly<Partial<Record<MapSwitchPhase, OrderOf>>> = {
+export const ORDER_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, OrderSelector>>> = {
   // A hold that comes late, after its change is over, keeps the group from nothing but work.
-  idle: orderRelease,
-  preparing: (state, report) => orderRelease(state, report) ?? orderPrepare(state, report),
-  voiding: orderVoid,
-  holding: ({ epoch, step, own }, report, rank) => {
-    if (rank !== own || report.heldStep === step) {
+  idle: releaseOrder,
+  preparing: (state, report) => releaseOrder(state, report) ?? prepareOrder(state, report),
+  voiding: voidOrder,
+  holding: ({ epoch, step, ownRank }, report, rank) => {
+    if (rank !== ownRank || report.heldStep === step) {
       return null;
     }
-    return orderRelease({ epoch }, report) ?? { kind: 'hold', epoch, step };
+    return releaseOrder({ epoch }, report) ?? { kind: 'hold', epoch, step };
   },
   arming: ({ epoch, version, step }, { armed }) =>
     armed?.version === version && armed.step === step
       ? null
       : { kind: 'arm', epoch, version, step },
-  releasing: orderRelease,
+  releasing: releaseOrder,
 };
 
-type Awaits = (state: MapSwitchState, report: RankReport, rank: number) => boolean;
+type AwaitsReport = (state: MapSwitchState, report: RankReport, rank: number) => boolean;
 
 /** Whether a rank's newest report leaves open what its phase waits for, in each phase. */
-const AWAITS: Readonly<Partial<Record<MapSwitchPhase, Awaits>>> = {
+const AWAITS_REPORT_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, AwaitsReport>>> = {
   preparing: ({ version }, { prepared }) => prepared !== version,
   voiding: ({ version }, { armed, prepared }) => armed !== null || prepared !== version,
-  holding: ({ own }, _report, rank) => rank === own,
+  holding: ({ ownRank }, _report, rank) => rank === ownRank,
   arming: ({ version, step }, { armed }) => armed?.version !== version || armed.step !== step,
   releasing: ({ version }, { mapVersion }) => mapVersion !== version,
 };
@@ -77,9 +77,9 @@
  * each 60 ms was 1,200 questions a second, more than the coordinator's share of a core and link bears.
  */
 export function awaitsReport(state: MapSwitchState, rank: number): boolean {
-  const seen = state.reports[rank] ?? null;
-  if (seen === null || seen.at < state.since || seen.report.epoch !== state.epoch) {
+  const received = state.reports[rank] ?? null;
+  if (received === null || received.receivedAt < state.validSince || received.report.epoch !== state.epoch) {
     return state.phase !== 'off';
   }
-  return AWAITS[state.phase]?.(state, seen.report, rank) ?? false;
+  return AWAITS_REPORT_BY_PHASE[state.phase]?.(state, received.report, rank) ?? false;
 }
--- a/src/coordination/MapSwitchTypes.ts
+++ b/src/coordination/MapSwitchTypes.ts
@@ -16,32 +16,32 @@
   | 'releasing';
 
 /** A report with the time at which it was taken in, ms. */
-export interface SeenReport {
+export interface ReceivedReport {
   readonly report: RankReport;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /** What a coordinator knows. */
 export interface MapSwitchState {
   readonly ranks: number;
   /** Rank on the coordinator's own host, which holds the group. */
-  readonly own: number;
+  readonly ownRank: number;
   readonly phase: MapSwitchPhase;
   readonly token: number;
   /** When the lease was gained, or a new epoch seen: older reports say nothing. */
-  readonly since: number;
+  readonly validSince: number;
   readonly epoch: number;
-  readonly reports: readonly (SeenReport | null)[];
+  readonly reports: readonly (ReceivedReport | null)[];
   /** Version in the making, its map, and the pass before which it is switched to. */
   readonly version: number;
   readonly map: GroupMap | null;
   readonly step: number;
   /** Tries of this process; part of each version, so that none is used twice. */
-  readonly tries: number;
+  readonly attempts: number;
   /** Orders on their way: by rank, until when no other is sent, ms. */
-  readonly quietUntil: readonly (number | null)[];
+  readonly nextOrderAt: readonly (number | null)[];
   /** Orders without an answer lately, which lengthen the way to the switch. */
-  readonly unknowns: number;
+  readonly unansweredOrders: number;
   readonly startedAt: number;
 }
 
--- a/src/coordination/OrderGate.ts
+++ b/src/coordination/OrderGate.ts
@@ -6,16 +6,16 @@
 /** What a gate knows of one group's or engine's fencing tokens. */
 export interface OrderGateState {
   /** Highest token seen or learned; null after a restart, until a quorum has told it. */
-  readonly highest: number | null;
+  readonly highestToken: number | null;
   /** Orders passed on that the engine hasn't answered, by token. */
-  readonly open: readonly number[];
+  readonly pendingTokens: readonly number[];
 }
 
 /** What becomes of an order. `wait`: send it again, once the gate has learned or is clear. */
 export type OrderVerdict = 'pass' | 'stale' | 'wait';
 
 /** A gate that has just started. */
-export const FRESH_ORDER_GATE: OrderGateState = { highest: null, open: [] };
+export const INITIAL_ORDER_GATE: OrderGateState = { highestToken: null, pendingTokens: [] };
 
 /**
  * Takes what a quorum says is the highest token granted.
@@ -24,8 +24,8 @@
  * long replaced, late on its way, is passed on. Enough: until a quorum has told the token, no order
  * passes.
  */
-export function learnToken(state: OrderGateState, token: number): OrderGateState {
-  return { ...state, highest: Math.max(state.highest ?? 0, token) };
+export function raiseHighestToken(state: OrderGateState, token: number): OrderGateState {
+  return { ...state, highestToken: Math.max(state.highestToken ?? 0, token) };
 }
 
 /**
@@ -35,24 +35,24 @@
  * ignores tokens, when the new coordinator's comes. Symptom: the engine carries out the old one
  * last. Enough: an order with a higher token waits until those with lower ones were answered.
  */
-export function judgeOrder(
+export function checkOrder(
   state: OrderGateState,
   token: number,
 ): { readonly state: OrderGateState; readonly verdict: OrderVerdict } {
-  if (state.highest === null) {
+  if (state.highestToken === null) {
     return { state, verdict: 'wait' };
   }
-  if (token < state.highest) {
+  if (token < state.highestToken) {
     return { state, verdict: 'stale' };
   }
-  const raised = { ...state, highest: token };
-  return state.open.some((other) => other < token)
+  const raised = { ...state, highestToken: token };
+  return state.pendingTokens.some((other) => other < token)
     ? { state: raised, verdict: 'wait' }
-    : { state: { ...raised, open: [...state.open, token] }, verdict: 'pass' };
+    : { state: { ...raised, pendingTokens: [...state.pendingTokens, token] }, verdict: 'pass' };
 }
 
 /** The engine has answered an order, or its connection is known to be dead. */
-export function settleOrder(state: OrderGateState, token: number): OrderGateState {
-  const at = state.open.indexOf(token);
-  return { ...state, open: state.open.filter((_token, i) => i !== at) };
+export function completeOrder(state: OrderGateState, token: number): OrderGateState {
+  const at = state.pendingTokens.indexOf(token);
+  return { ...state, pendingTokens: state.pendingTokens.filter((_token, i) => i !== at) };
 }
--- a/src/coordination/Placement.ts
+++ b/src/coordination/Placement.ts
@@ -14,11 +14,11 @@
   /** Time of a step with even load, ms. */
   readonly stepMs: number;
   /** Steps for which the load is expected to stay as it is. */
-  readonly lifeSteps: number;
+  readonly stableSteps: number;
   /** Cost of copying one expert's weights, as ms of step time lost to it. */
   readonly moveMs: number;
   /** Experts that may be copied now, by the weight store's rate. */
-  readonly mostMoves: number;
+  readonly maxMoves: number;
   /** Speed of each rank; 1 is usual, less is slower. */
   readonly speeds: readonly number[];
 }
@@ -47,12 +47,12 @@
 const PEAK_ORDER = 32;
 
 /** Times its own uncertainty that a gain must exceed. */
-const SIGNIFICANCE = 0.1;
+const UNCERTAINTY_FACTOR = 0.1;
 
 /** Part of an interval's variance that is left in the estimate: weight / (2 - weight). */
-const RESIDUAL = 0.15;
+const RESIDUAL_VARIANCE = 0.15;
 
-interface Working {
+interface WorkingMap {
   readonly slots: number[][];
   readonly holders: Set<number>[];
   readonly loads: number[];
@@ -90,7 +90,7 @@
   return (sum / loads.length) ** (1 / PEAK_ORDER);
 }
 
-function startWorking(map: PlacementMap, experts: number, loads: readonly number[]): Working {
+function initWorkingMap(map: PlacementMap, experts: number, loads: readonly number[]): WorkingMap {
   const holders = Array.from({ length: experts }, () => new Set<number>());
   map.forEach((slots, rank) => slots.forEach((expert) => holders[expert]?.add(rank)));
   return { slots: map.map((slots) => [...slots]), holders, loads: [...loads] };
@@ -98,44 +98,44 @@
 
 /** Loads after moves; only the ranks that hold the experts concerned are worked out anew. */
 function loadsAfter(
-  { slots, holders, loads }: Working,
+  { slots, holders, loads }: WorkingMap,
   moves: readonly PlacementMove[],
   load: readonly number[],
   speeds: readonly number[],
 ): number[] {
   const next = [...loads];
-  const change = (expert: number, rank: number, adds: boolean, held: Set<number>): void => {
-    const own = load[expert] ?? 0;
-    const before = own / Math.max(1, held.size);
-    const after = own / Math.max(1, held.size + (adds ? 1 : -1));
-    held.forEach((holder) => {
+  const changeReplicas = (expert: number, rank: number, adds: boolean, ranksHolding: Set<number>): void => {
+    const expertLoad = load[expert] ?? 0;
+    const before = expertLoad / Math.max(1, ranksHolding.size);
+    const after = expertLoad / Math.max(1, ranksHolding.size + (adds ? 1 : -1));
+    ranksHolding.forEach((holder) => {
       next[holder] = (next[holder] ?? 0) + (after - before) / (speeds[holder] ?? 1);
     });
     const share = adds ? after : -after;
     next[rank] = (next[rank] ?? 0) + share / (speeds[rank] ?? 1);
   };
-  const local = new Map<number, Set<number>>();
-  const heldBy = (expert: number): Set<number> => {
-    const held = local.get(expert) ?? new Set(holders[expert]);
-    local.set(expert, held);
-    return held;
+  const holdersAfter = new Map<number, Set<number>>();
+  const holdersOf = (expert: number): Set<number> => {
+    const ranksHolding = holdersAfter.get(expert) ?? new Set(holders[expert]);
+    holdersAfter.set(expert, ranksHolding);
+    return ranksHolding;
   };
   moves.forEach(({ rank, slot, expert }) => {
-    const old = slots[rank]?.[slot] ?? -1;
-    change(expert, rank, true, heldBy(expert));
-    heldBy(expert).add(rank);
-    change(old, rank, false, heldBy(old));
-    heldBy(old).delete(rank);
+    const replaced = slots[rank]?.[slot] ?? -1;
+    changeReplicas(expert, rank, true, holdersOf(expert));
+    holdersOf(expert).add(rank);
+    changeReplicas(replaced, rank, false, holdersOf(replaced));
+    holdersOf(replaced).delete(rank);
   });
   return next;
 }
 
-function applyMoves(working: Working, moves: readonly PlacementMove[], loads: number[]): Working {
+function applyMoves(working: WorkingMap, moves: readonly PlacementMove[], loads: number[]): WorkingMap {
   const slots = working.slots.map((row) => [...row]);
   const holders = [...working.holders];
   moves.forEach(({ rank, slot, expert }) => {
-    const old = slots[rank]?.[slot] ?? -1;
-    holders[old] = new Set([...(holders[old] ?? [])].filter((holder) => holder !== rank));
+    const replaced = slots[rank]?.[slot] ?? -1;
+    holders[replaced] = new Set([...(holders[replaced] ?? [])].filter((holder) => holder !== rank));
     holders[expert] = new Set([...(holders[expert] ?? []), rank]);
     (slots[rank] ?? [])[slot] = expert;
   });
@@ -143,8 +143,8 @@
 }
 
 /** Replaces a spare replica on the cold rank by one of the hot expert, or swaps the two. */
-function listMoves(
-  { slots, holders }: Working,
+function candidateMoves(
+  { slots, holders }: WorkingMap,
   hot: number,
   cold: number,
 ): readonly (readonly PlacementMove[])[] {
@@ -152,42 +152,42 @@
     if (holders[expert]?.has(cold)) {
       return [];
     }
-    return (slots[cold] ?? []).flatMap((old, slot) => {
-      const take: PlacementMove = { rank: cold, slot, expert };
-      const spare = (holders[old]?.size ?? 0) > 1;
-      const swap: readonly PlacementMove[] = [take, { rank: hot, slot: from, expert: old }];
-      return [...(spare ? [[take]] : []), ...(holders[old]?.has(hot) ? [] : [swap])];
+    return (slots[cold] ?? []).flatMap((replaced, slot) => {
+      const replacement: PlacementMove = { rank: cold, slot, expert };
+      const hasOtherReplica = (holders[replaced]?.size ?? 0) > 1;
+      const swap: readonly PlacementMove[] = [replacement, { rank: hot, slot: from, expert: replaced }];
+      return [...(hasOtherReplica ? [[replacement]] : []), ...(holders[replaced]?.has(hot) ? [] : [swap])];
     });
   });
 }
 
 function uncertainty(
-  { slots }: Working,
+  { slots }: WorkingMap,
   moves: readonly PlacementMove[],
   variance: readonly number[],
 ): number {
   const sum = moves.reduce((total, { rank, slot, expert }) => {
-    const old = slots[rank]?.[slot] ?? -1;
-    return total + (variance[expert] ?? 0) + (variance[old] ?? 0);
+    const replaced = slots[rank]?.[slot] ?? -1;
+    return total + (variance[expert] ?? 0) + (variance[replaced] ?? 0);
   }, 0);
-  return Math.sqrt(sum * RESIDUAL);
+  return Math.sqrt(sum * RESIDUAL_VARIANCE);
 }
 
 /** The change at the most loaded rank that gains most for each expert copied. */
-function findBest(
-  working: Working,
+function findBestCandidate(
+  working: WorkingMap,
   estimate: PlacementEstimate,
   policy: PlacementPolicy,
 ): Candidate | null {
-  const order = working.loads.map((load, rank) => ({ load, rank })).sort((a, b) => b.load - a.load);
-  const hot = order[0]?.rank ?? 0;
+  const ranksByLoad = working.loads.map((load, rank) => ({ load, rank })).sort((a, b) => b.load - a.load);
+  const hot = ranksByLoad[0]?.rank ?? 0;
   const before = peak(working.loads);
   let best: Candidate | null = null;
-  order.slice(-COLD_RANKS).forEach(({ rank: cold }) => {
-    const options = cold === hot ? [] : listMoves(working, hot, cold);
+  ranksByLoad.slice(-COLD_RANKS).forEach(({ rank: cold }) => {
+    const options = cold === hot ? [] : candidateMoves(working, hot, cold);
     options.forEach((moves) => {
       const after = peak(loadsAfter(working, moves, estimate.mean, policy.speeds));
-      const gain = before - after - SIGNIFICANCE * uncertainty(working, moves, estimate.variance);
+      const gain = before - after - UNCERTAINTY_FACTOR * uncertainty(working, moves, estimate.variance);
       if (gain > 0 && (best === null || gain / moves.length > best.gain / best.moves.length)) {
         best = { moves, gain };
       }
@@ -203,8 +203,8 @@
  * and streams are disturbed for a gain that is gone before it is reached. Enough: a change must save
  * more step time over the load's expected life than its copies cost, weighed by the manifest.
  */
-function pays(candidate: Candidate, mean: number, policy: PlacementPolicy): boolean {
-  const saved = (candidate.gain / mean) * policy.stepMs * policy.lifeSteps;
+function isWorthItsCost(candidate: Candidate, mean: number, policy: PlacementPolicy): boolean {
+  const saved = (candidate.gain / mean) * policy.stepMs * policy.stableSteps;
   const cost = candidate.moves.length * policy.moveMs;
   return policy.skewWeight * saved > (1 - policy.skewWeight) * cost;
 }
@@ -218,26 +218,26 @@
   const loads = rankLoads(map, estimate.mean, policy.speeds);
   const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
   const skewBefore = skewOf(loads);
-  let working = startWorking(map, estimate.mean.length, loads);
+  let working = initWorkingMap(map, estimate.mean.length, loads);
   const moves: PlacementMove[] = [];
-  let candidate = findBest(working, estimate, policy);
-  const found = candidate !== null;
+  let candidate = findBestCandidate(working, estimate, policy);
+  const hasCandidate = candidate !== null;
   while (
     candidate !== null &&
-    moves.length + candidate.moves.length <= policy.mostMoves &&
-    pays(candidate, mean, policy)
+    moves.length + candidate.moves.length <= policy.maxMoves &&
+    isWorthItsCost(candidate, mean, policy)
   ) {
     const after = loadsAfter(working, candidate.moves, estimate.mean, policy.speeds);
     working = applyMoves(working, candidate.moves, after);
     moves.push(...candidate.moves);
-    candidate = findBest(working, estimate, policy);
+    candidate = findBestCandidate(working, estimate, policy);
   }
-  const idle = found ? 'not_worth_it' : 'balanced';
+  const unchangedReason = hasCandidate ? 'not_worth_it' : 'balanced';
   return {
     map: working.slots,
     moves,
     skewBefore,
     skewAfter: skewOf(working.loads),
-    reason: moves.length > 0 ? 'improved' : idle,
+    reason: moves.length > 0 ? 'improved' : unchangedReason,
   };
 }
--- a/src/coordination/PlacementEstimate.ts
+++ b/src/coordination/PlacementEstimate.ts
@@ -9,18 +9,18 @@
 }
 
 /** Weight of the newest interval once many have been seen: a memory of some four intervals. */
-const WEIGHT = 0.25;
+const MIN_WEIGHT = 0.25;
 
 /** Weight after a surprise: what was known before is of little use. */
-const SURPRISED_WEIGHT = 0.8;
+const SHIFT_WEIGHT = 0.8;
 
 /** Squared error over what was expected, averaged over experts, that counts as a surprise. */
-const SURPRISE = 6;
+const SHIFT_ERROR_RATIO = 6;
 
 /** Nothing seen yet. */
 export function initEstimate(experts: number): PlacementEstimate {
-  const flat = Array.from({ length: experts }, () => 1);
-  return { mean: flat, variance: flat.map(() => 0), intervals: 0 };
+  const evenShares = Array.from({ length: experts }, () => 1);
+  return { mean: evenShares, variance: evenShares.map(() => 0), intervals: 0 };
 }
 
 function toShares(counts: readonly number[]): readonly number[] {
@@ -29,10 +29,10 @@
 }
 
 /** A topic shift shows as errors far beyond the noise, over all experts at once. */
-function isSurprised(estimate: PlacementEstimate, shares: readonly number[]): boolean {
-  const expected = estimate.variance.reduce((sum, variance) => sum + variance, 0);
-  const seen = shares.reduce((sum, share, i) => sum + (share - (estimate.mean[i] ?? 1)) ** 2, 0);
-  return estimate.intervals > 2 && seen > SURPRISE * expected;
+function isLoadShift(estimate: PlacementEstimate, shares: readonly number[]): boolean {
+  const expectedError = estimate.variance.reduce((sum, variance) => sum + variance, 0);
+  const squaredError = shares.reduce((sum, share, i) => sum + (share - (estimate.mean[i] ?? 1)) ** 2, 0);
+  return estimate.intervals > 2 && squaredError > SHIFT_ERROR_RATIO * expectedError;
 }
 
 /** Takes in the counters of one interval. */
@@ -41,15 +41,15 @@
   counts: readonly number[],
 ): PlacementEstimate {
   const shares = toShares(counts);
-  const usual = Math.max(WEIGHT, 1 / (estimate.intervals + 1));
-  const weight = isSurprised(estimate, shares) ? SURPRISED_WEIGHT : usual;
+  const steadyWeight = Math.max(MIN_WEIGHT, 1 / (estimate.intervals + 1));
+  const weight = isLoadShift(estimate, shares) ? SHIFT_WEIGHT : steadyWeight;
   const errors = shares.map((share, i) => share - (estimate.mean[i] ?? 1));
   return {
     mean: estimate.mean.map((mean, i) => mean + weight * (errors[i] ?? 0)),
     variance: estimate.variance.map((variance, i) =>
       estimate.intervals === 0
         ? 0
-        : (1 - usual) * variance + usual * Math.min((errors[i] ?? 0) ** 2, 4 * variance + 0.01),
+        : (1 - steadyWeight) * variance + steadyWeight * Math.min((errors[i] ?? 0) ** 2, 4 * variance + 0.01),
     ),
     intervals: estimate.intervals + 1,
   };
--- a/src/coordination/Settling.ts
+++ b/src/coordination/UpdateThrottle.ts
@@ -4,30 +4,30 @@
  */
 
 /** Changes that come within this time are worked out together, ms: short against the time in which news must count. */
-const SETTLE_MS = 50;
+const THROTTLE_MS = 50;
 
 /** Where the work stands. */
-export interface Settling {
+export interface UpdateThrottle {
   /** When changes were last worked out, ms. */
-  readonly doneAt: number;
+  readonly lastUpdateAt: number;
   /** Whether there is a change that hasn't been worked out. */
-  readonly isOpen: boolean;
+  readonly isPending: boolean;
 }
 
 /** Nothing has changed yet. */
-export const SETTLED: Settling = { doneAt: -Infinity, isOpen: false };
+export const IDLE_THROTTLE: UpdateThrottle = { lastUpdateAt: -Infinity, isPending: false };
 
 /** Something has changed. */
-export function openSettling(state: Settling): Settling {
-  return state.isOpen ? state : { ...state, isOpen: true };
+export function requestUpdate(state: UpdateThrottle): UpdateThrottle {
+  return state.isPending ? state : { ...state, isPending: true };
 }
 
 /** Whether changes are to be worked out now. */
-export function isSettlingDue({ doneAt, isOpen }: Settling, now: number): boolean {
-  return isOpen && now - doneAt >= SETTLE_MS;
+export function isUpdateDue({ lastUpdateAt, isPending }: UpdateThrottle, now: number): boolean {
+  return isPending && now - lastUpdateAt >= THROTTLE_MS;
 }
 
 /** All changes so far have been worked out. */
-export function endSettling(now: number): Settling {
-  return { doneAt: now, isOpen: false };
+export function finishUpdate(now: number): UpdateThrottle {
+  return { lastUpdateAt: now, isPending: false };
 }
--- a/src/coordination/__tests__/unit/DemandCounts.test.ts
+++ b/src/coordination/__tests__/unit/DemandCounts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { addIncrements, countedRanks, packIncrements } from '../../index.js';
+import { addIncrements, sampledRanks, packIncrements } from '../../index.js';
 
 const counts = fc.array(fc.array(fc.nat(5_000), { minLength: 6, maxLength: 6 }), {
   minLength: 2,
@@ -37,10 +37,10 @@
   // A group of 72 ranks with 1,728 experts, and its coordinator's link takes 0.7 MB/s: counts of all ranks
   // would fill it, and the coordinator's own lease would run out behind them.
   it('counts all ranks of a small group and a part of a large one, evenly spread', () => {
-    assert.equal(countedRanks(16, 256).size, 16);
-    const large = [...countedRanks(72, 1_728)];
+    assert.equal(sampledRanks(16, 256).size, 16);
+    const large = [...sampledRanks(72, 1_728)];
     assert.equal(large.length, 18);
     assert.ok(large.every((rank, i) => rank === i * 4));
-    assert.equal(countedRanks(288, 100_000).size, 1);
+    assert.equal(sampledRanks(288, 100_000).size, 1);
   });
 });
--- a/src/coordination/__tests__/unit/MapPlan.test.ts
+++ b/src/coordination/__tests__/unit/MapPlan.test.ts
@@ -3,22 +3,22 @@
 import fc from 'fast-check';
 import type { GroupMap } from '../../../protocol/index.js';
 import {
-  gainWanted,
+  requiredGain,
   isPlanDue,
   planMap,
   type MapPolicy,
   type MapShape,
-  type PassOutlook,
+  type PlanConditions,
 } from '../../index.js';
 
 const RANKS = 12;
 const EXPERTS = 96;
 const SETS = 3;
-const SHAPE: MapShape = { slotsPerRank: 11, mostNew: 4 };
-const POLICY: MapPolicy = { mostNewPerRank: 12, gainPerCopy: 0.004 };
+const SHAPE: MapShape = { slotsPerRank: 11, maxNewExperts: 4 };
+const POLICY: MapPolicy = { maxCopiesPerRank: 12, gainPerCopy: 0.004 };
 
 /** Experts in turn over the ranks, each once. */
-const FIRST: GroupMap = Array.from({ length: SETS }, () =>
+const INITIAL_MAP: GroupMap = Array.from({ length: SETS }, () =>
   Array.from({ length: RANKS }, (_rank, rank) =>
     Array.from({ length: EXPERTS / RANKS }, (_slot, i) => rank + i * RANKS),
   ),
@@ -28,7 +28,7 @@
   return Array.from({ length: EXPERTS }, (_item, e) => 1 / (1 + ((e * 37 + shift) % EXPERTS)));
 }
 
-const WEIGHTS = [zipf(0), zipf(11), zipf(23)];
+const EXPERT_LOADS = [zipf(0), zipf(11), zipf(23)];
 
 /** Copies that each rank makes between two maps, by set. */
 function copiesByRank(from: GroupMap, to: GroupMap): readonly (readonly number[])[] {
@@ -40,27 +40,27 @@
 /** Largest over mean load, averaged over sets, worked out anew. */
 function skewOf(
   map: GroupMap,
-  weights: readonly (readonly number[])[],
-  paces: readonly number[],
+  expertLoads: readonly (readonly number[])[],
+  slowdowns: readonly number[],
 ): number {
   const skews = map.map((ranks, set) => {
     const held = ranks.flat();
-    const shares = (weights[set] ?? []).map(
+    const shares = (expertLoads[set] ?? []).map(
       (weight, expert) => weight / held.filter((other) => other === expert).length,
     );
     const loads = ranks.map((experts) => experts.reduce((sum, e) => sum + (shares[e] ?? 0), 0));
     const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
-    return Math.max(...loads.map((load, rank) => load * (paces[rank] ?? 1))) / mean;
+    return Math.max(...loads.map((load, rank) => load * (slowdowns[rank] ?? 1))) / mean;
   });
   return skews.reduce((sum, skew) => sum + skew, 0) / skews.length;
 }
 
 describe('planMap', () => {
   it('evens out a skewed demand within a few copies', () => {
-    const planned = planMap(FIRST, WEIGHTS, SHAPE, POLICY);
+    const planned = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
     assert.ok(planned.skewBefore > 2);
     assert.ok(planned.skewAfter < 1.15, `${planned.skewAfter}`);
-    assert.ok(planned.copies <= RANKS * SHAPE.mostNew * SETS);
+    assert.ok(planned.copies <= RANKS * SHAPE.maxNewExperts * SETS);
   });
 
   // An engine refuses a map that brings a rank too many new experts, holds too many, or lacks one: the
@@ -73,7 +73,7 @@
     });
     fc.assert(
       fc.property(weights, weights, (first, second) => {
-        const before = planMap(FIRST, first, SHAPE, POLICY).map;
+        const before = planMap(INITIAL_MAP, first, SHAPE, POLICY).map;
         const { map, copies } = planMap(before, second, SHAPE, POLICY);
         map.forEach((ranks) => {
           assert.equal(new Set(ranks.flat()).size, EXPERTS);
@@ -83,7 +83,7 @@
           });
         });
         const byRank = copiesByRank(before, map);
-        byRank.forEach((ranks) => ranks.forEach((n) => assert.ok(n <= SHAPE.mostNew)));
+        byRank.forEach((ranks) => ranks.forEach((n) => assert.ok(n <= SHAPE.maxNewExperts)));
         assert.equal(
           byRank.flat().reduce((a, b) => a + b, 0),
           copies,
@@ -99,14 +99,14 @@
     const weight = fc.double({ min: 0, max: 1, noNaN: true });
     const set = fc.array(weight, { minLength: EXPERTS, maxLength: EXPERTS });
     const demand = fc.array(set, { minLength: SETS, maxLength: SETS });
-    const pace = fc.oneof(fc.constant(1), fc.double({ min: 1, max: 12, noNaN: true }));
-    const paces = fc.array(pace, { minLength: RANKS, maxLength: RANKS });
+    const slowdown = fc.oneof(fc.constant(1), fc.double({ min: 1, max: 12, noNaN: true }));
+    const slowdownLists = fc.array(slowdown, { minLength: RANKS, maxLength: RANKS });
     fc.assert(
-      fc.property(demand, demand, paces, (first, second, slow) => {
-        const before = planMap(FIRST, first, SHAPE, POLICY, slow).map;
-        const planned = planMap(before, second, SHAPE, POLICY, slow);
-        assert.ok(Math.abs(planned.skewBefore - skewOf(before, second, slow)) < 1e-6);
-        assert.ok(Math.abs(planned.skewAfter - skewOf(planned.map, second, slow)) < 1e-6);
+      fc.property(demand, demand, slowdownLists, (first, second, slowdowns) => {
+        const before = planMap(INITIAL_MAP, first, SHAPE, POLICY, slowdowns).map;
+        const planned = planMap(before, second, SHAPE, POLICY, slowdowns);
+        assert.ok(Math.abs(planned.skewBefore - skewOf(before, second, slowdowns)) < 1e-6);
+        assert.ok(Math.abs(planned.skewAfter - skewOf(planned.map, second, slowdowns)) < 1e-6);
       }),
       { seed: 7, numRuns: 40 },
     );
@@ -115,8 +115,8 @@
   // Load pattern: random demand on ranks that have all their places in use. Guards against: a spare copy given up for
   // another is an expert's last one, or is counted as a copy that the rank has to make though it had it before.
   it('keeps to places and copies where no place is free', () => {
-    const shape: MapShape = { slotsPerRank: 9, mostNew: 2 };
-    const policy: MapPolicy = { mostNewPerRank: 4, gainPerCopy: 0.004 };
+    const shape: MapShape = { slotsPerRank: 9, maxNewExperts: 2 };
+    const policy: MapPolicy = { maxCopiesPerRank: 4, gainPerCopy: 0.004 };
     const weight = fc.double({ min: 0, max: 1, noNaN: true });
     const set = fc.array(weight, { minLength: EXPERTS, maxLength: EXPERTS });
     const demands = fc.array(fc.array(set, { minLength: SETS, maxLength: SETS }), {
@@ -128,10 +128,10 @@
         list.reduce<GroupMap>((before, weights) => {
           const planned = planMap(before, weights, shape, policy);
           const byRank = copiesByRank(before, planned.map);
-          assert.ok(byRank.flat().every((copies) => copies <= shape.mostNew));
-          FIRST[0]?.forEach((_experts, rank) => {
+          assert.ok(byRank.flat().every((copies) => copies <= shape.maxNewExperts));
+          INITIAL_MAP[0]?.forEach((_experts, rank) => {
             const all = byRank.reduce((sum, ranks) => sum + (ranks[rank] ?? 0), 0);
-            assert.ok(all <= policy.mostNewPerRank);
+            assert.ok(all <= policy.maxCopiesPerRank);
           });
           planned.map.forEach((ranks) => {
             assert.equal(new Set(ranks.flat()).size, EXPERTS);
@@ -139,7 +139,7 @@
             assert.ok(ranks.every((experts) => new Set(experts).size === experts.length));
           });
           return planned.map;
-        }, FIRST);
+        }, INITIAL_MAP);
       }),
       { seed: 9, numRuns: 30 },
     );
@@ -147,13 +147,13 @@
 
   it('changes nothing where nothing is gained', () => {
     const even = [0, 1, 2].map(() => Array.from({ length: EXPERTS }, () => 1));
-    assert.equal(planMap(FIRST, even, SHAPE, POLICY).copies, 0);
-    assert.equal(planMap(FIRST, WEIGHTS, SHAPE, { ...POLICY, gainPerCopy: Infinity }).copies, 0);
+    assert.equal(planMap(INITIAL_MAP, even, SHAPE, POLICY).copies, 0);
+    assert.equal(planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, { ...POLICY, gainPerCopy: Infinity }).copies, 0);
   });
 
   it('keeps to the copies that a rank may make in one change', () => {
-    const { map } = planMap(FIRST, WEIGHTS, SHAPE, { ...POLICY, mostNewPerRank: 3 });
-    const byRank = copiesByRank(FIRST, map);
+    const { map } = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, { ...POLICY, maxCopiesPerRank: 3 });
+    const byRank = copiesByRank(INITIAL_MAP, map);
     const totals = byRank[0]?.map((_n, rank) =>
       byRank.reduce((sum, ranks) => sum + (ranks[rank] ?? 0), 0),
     );
@@ -162,49 +162,49 @@
 });
 
 /** A group that has had a planned map for long. */
-function settled(passMs: number | null): PassOutlook {
-  return { passMs, pauseMs: 120, usesFirstMap: false, formedMsAgo: Infinity };
+function settledGroup(passMs: number | null): PlanConditions {
+  return { passMs, pauseMs: 120, usesInitialMap: false, formedMsAgo: Infinity };
 }
 
 describe('gainWanted', () => {
   // Traffic begins on a group with its first map. Its passes are still short, and half of a second later most
   // answers are late by their pauses; a map that is planned only then is in use another second later.
   it('waits for no long passes while the group uses its first map, or has just formed', () => {
-    assert.equal(gainWanted({ ...settled(30), usesFirstMap: true }, 0.004), 0.004);
-    assert.equal(gainWanted({ ...settled(null), formedMsAgo: 900 }, 0.004), 0.004);
-    assert.equal(gainWanted({ ...settled(30), formedMsAgo: 1_600 }, 0.004), null);
+    assert.equal(requiredGain({ ...settledGroup(30), usesInitialMap: true }, 0.004), 0.004);
+    assert.equal(requiredGain({ ...settledGroup(null), formedMsAgo: 900 }, 0.004), 0.004);
+    assert.equal(requiredGain({ ...settledGroup(30), formedMsAgo: 1_600 }, 0.004), null);
   });
 
   it('asks for more the easier the passes are, and for nothing where they are short', () => {
-    assert.equal(gainWanted(settled(50), 0.004), null);
-    assert.equal(gainWanted(settled(null), 0.004), null);
-    assert.equal(gainWanted(settled(110), 0.004), 0.004);
-    const easy = gainWanted(settled(65), 0.004) ?? 0;
-    const pressed = gainWanted(settled(85), 0.004) ?? 0;
-    assert.ok(easy > pressed && pressed > 0.004);
+    assert.equal(requiredGain(settledGroup(50), 0.004), null);
+    assert.equal(requiredGain(settledGroup(null), 0.004), null);
+    assert.equal(requiredGain(settledGroup(110), 0.004), 0.004);
+    const easy = requiredGain(settledGroup(65), 0.004) ?? 0;
+    const nearLimit = requiredGain(settledGroup(85), 0.004) ?? 0;
+    assert.ok(easy > nearLimit && nearLimit > 0.004);
   });
 
   // A rank turns slow, and all ranks of its group wait for it in every pass. With an even share of the load
   // it would make each pass as much longer as it is slower; the others have room for a part of it.
   it('gives a slow rank less of the load', () => {
-    const even = planMap(FIRST, WEIGHTS, SHAPE, POLICY);
-    const paces = FIRST[0]?.map((_experts, rank) => (rank === 0 ? 2 : 1)) ?? [];
-    const asIs = planMap(even.map, WEIGHTS, SHAPE, { ...POLICY, gainPerCopy: Infinity }, paces);
-    const planned = planMap(even.map, WEIGHTS, SHAPE, POLICY, paces);
-    assert.ok(asIs.skewBefore > 1.5);
-    assert.ok(planned.skewAfter < asIs.skewBefore - 0.2);
+    const even = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
+    const slowdowns = INITIAL_MAP[0]?.map((_experts, rank) => (rank === 0 ? 2 : 1)) ?? [];
+    const unchanged = planMap(even.map, EXPERT_LOADS, SHAPE, { ...POLICY, gainPerCopy: Infinity }, slowdowns);
+    const planned = planMap(even.map, EXPERT_LOADS, SHAPE, POLICY, slowdowns);
+    assert.ok(unchanged.skewBefore > 1.5);
+    assert.ok(planned.skewAfter < unchanged.skewBefore - 0.2);
   });
 
   // Load pattern: one rank of a group works twelve times slower. Guards against: with a third of an even share it
   // makes the experts' part of each pass four times as long.
   it('leaves next to nothing to a rank that is twelve times slower', () => {
-    const even = planMap(FIRST, WEIGHTS, SHAPE, POLICY);
-    const paces = FIRST[0]?.map((_experts, rank) => (rank === 0 ? 12 : 1)) ?? [];
-    const planned = planMap(even.map, WEIGHTS, SHAPE, POLICY, paces);
+    const even = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
+    const slowdowns = INITIAL_MAP[0]?.map((_experts, rank) => (rank === 0 ? 12 : 1)) ?? [];
+    const planned = planMap(even.map, EXPERT_LOADS, SHAPE, POLICY, slowdowns);
     const shares = planned.map.map((ranks, set) => {
       const held = ranks.flat();
       const holders = (expert: number): number => held.filter((e) => e === expert).length;
-      const weights = WEIGHTS[set] ?? [];
+      const weights = EXPERT_LOADS[set] ?? [];
       const share = (ranks[0] ?? []).reduce((sum, e) => sum + (weights[e] ?? 0) / holders(e), 0);
       return (share * RANKS) / weights.reduce((sum, weight) => sum + weight, 0);
     });
@@ -214,14 +214,14 @@
   // Guards against: a rank goes on with an expert that others hold as well, until there is time for copies.
   it('takes from a slow rank at once what others hold too', () => {
     const inUse: GroupMap = [[[0, 1], [0, 2], [3]]];
-    const noCopies: MapPolicy = { mostNewPerRank: 0, gainPerCopy: 0.004 };
-    const planned = planMap(inUse, [[4, 1, 1, 1]], { slotsPerRank: 3, mostNew: 2 }, noCopies, [12]);
+    const noCopies: MapPolicy = { maxCopiesPerRank: 0, gainPerCopy: 0.004 };
+    const planned = planMap(inUse, [[4, 1, 1, 1]], { slotsPerRank: 3, maxNewExperts: 2 }, noCopies, [12]);
     assert.deepEqual([planned.map, planned.copies], [[[[1], [0, 2], [3]]], 0]);
   });
 });
 
 describe('isPlanDue', () => {
-  const settledPlan = { plannedMsAgo: 200, formedMsAgo: Infinity, plannedShifts: 2, shifts: 2 };
+  const settledPlan = { plannedMsAgo: 200, formedMsAgo: Infinity, shiftsAtPlan: 2, shifts: 2 };
 
   // Load pattern: demand shifts while a change of map is under way. Guards against: the counts that show it lie unused
   // until the next ones are in.
--- a/src/coordination/__tests__/unit/MapStages.test.ts
+++ b/src/coordination/__tests__/unit/MapStages.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { MapStages } from '../../index.js';
 
-function change(stages: MapStages, at: number): void {
+function runChange(stages: MapStages, at: number): void {
   stages.onPlan(5, at);
   stages.onPhase('preparing', at);
   stages.onPhase('holding', at + 200);
@@ -17,7 +17,7 @@
     stages.onCounts(1.1, 30, 1_000);
     stages.onCounts(1.9, 40, 1_250);
     stages.onCounts(2.2, 50, 1_500);
-    change(stages, 1_505);
+    runChange(stages, 1_505);
     assert.deepEqual(stages.finish(1_845), {
       waitMs: 250,
       countsMs: 50,
@@ -35,10 +35,10 @@
     stages.onCounts(1.9, 40, 1_000);
     stages.onCounts(1.2, 40, 1_250);
     stages.onCounts(1.9, 40, 1_500);
-    change(stages, 1_505);
+    runChange(stages, 1_505);
     assert.equal(stages.finish(1_845).waitMs, 0);
     stages.onCounts(1.5, 40, 2_000);
-    change(stages, 2_005);
+    runChange(stages, 2_005);
     assert.equal(stages.finish(2_345).waitMs, 0);
   });
 
--- a/src/coordination/__tests__/unit/MapSwitch.test.ts
+++ b/src/coordination/__tests__/unit/MapSwitch.test.ts
@@ -30,7 +30,7 @@
   }
 
   /** Hears all ranks; what each reports is the usual with some changes. */
-  hear(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
+  reportAll(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
     const outputs = Array.from({ length: RANKS }, (_item, rank) => {
       this.input({ type: 'report', rank, report: { ...REPORT, rank, ...changes[rank] } });
       return this.outputs;
@@ -39,10 +39,10 @@
   }
 
   /** Gains its first lease and hears all ranks. */
-  begin(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
+  gainLease(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
     this.input({ type: 'gained', token: 1 });
     this.input({ type: 'mapInUse', map: [[[0], [1], [2]]] });
-    return this.hear(...changes);
+    return this.reportAll(...changes);
   }
 }
 
@@ -59,7 +59,7 @@
   // until somebody lets the group go; the change is as good as done, so that is all that is lacking.
   it('finishes what all ranks are armed for alike', () => {
     const coordinator = new Coordinator();
-    const outputs = coordinator.begin({ ...ARMED, heldStep: 20 }, ARMED, ARMED);
+    const outputs = coordinator.gainLease({ ...ARMED, heldStep: 20 }, ARMED, ARMED);
     assert.equal(coordinator.state.phase, 'releasing');
     assert.deepEqual(ordersOf(outputs), ['0 release']);
   });
@@ -69,10 +69,10 @@
   // begin the pass with two maps. It must be held first.
   it('holds the group before it undoes what one rank is armed for', () => {
     const coordinator = new Coordinator();
-    const outputs = coordinator.begin({}, ARMED, {});
+    const outputs = coordinator.gainLease({}, ARMED, {});
     assert.equal(coordinator.state.phase, 'voiding');
     assert.deepEqual(ordersOf(outputs), ['0 hold']);
-    const orders = ordersOf(coordinator.hear({ heldStep: 20 }, ARMED, {}));
+    const orders = ordersOf(coordinator.reportAll({ heldStep: 20 }, ARMED, {}));
     assert.ok(orders.includes('1 disarm'), orders.join());
     assert.ok(!orders.includes('0 release'), orders.join());
   });
@@ -83,15 +83,15 @@
   // use that pass again, the late order would let the group go while only some ranks are armed.
   it('uses each pass once', () => {
     const coordinator = new Coordinator();
-    coordinator.begin({ heldStep: 20 }, ARMED, {});
+    coordinator.gainLease({ heldStep: 20 }, ARMED, {});
     const { version } = coordinator.state;
     const voided = { prepared: version };
-    coordinator.hear({ ...voided, heldStep: 20 }, voided, voided);
+    coordinator.reportAll({ ...voided, heldStep: 20 }, voided, voided);
     assert.equal(coordinator.state.phase, 'idle');
-    coordinator.hear(voided, voided, voided);
+    coordinator.reportAll(voided, voided, voided);
     coordinator.input({ type: 'propose', map: [[[0], [1], [2]]] });
     const prepared = { prepared: coordinator.state.version };
-    coordinator.hear(prepared, prepared, prepared);
+    coordinator.reportAll(prepared, prepared, prepared);
     assert.equal(coordinator.state.phase, 'holding');
     assert.ok(coordinator.state.step > 20, `pass ${coordinator.state.step}`);
   });
--- a/src/coordination/__tests__/unit/Placement.test.ts
+++ b/src/coordination/__tests__/unit/Placement.test.ts
@@ -20,19 +20,19 @@
   Array.from({ length: SLOTS }, (_slot, slot) => (rank * 4 + slot) % EXPERTS),
 );
 
-const policy = (skewWeight: number, mostMoves = 64): PlacementPolicy => ({
+const policy = (skewWeight: number, maxMoves = 64): PlacementPolicy => ({
   skewWeight,
   stepMs: 8,
-  lifeSteps: 2_000,
+  stableSteps: 2_000,
   moveMs: 40,
-  mostMoves,
+  maxMoves,
   speeds: Array.from({ length: RANKS }, () => 1),
 });
 
-const zipf = (turn: number): readonly number[] =>
-  Array.from({ length: EXPERTS }, (_expert, i) => 1_000 / (((i + turn) % EXPERTS) + 1));
+const zipf = (rotation: number): readonly number[] =>
+  Array.from({ length: EXPERTS }, (_expert, i) => 1_000 / (((i + rotation) % EXPERTS) + 1));
 
-function learn(load: readonly number[], intervals: number): PlacementEstimate {
+function estimateFrom(load: readonly number[], intervals: number): PlacementEstimate {
   return Array.from({ length: intervals }).reduce<PlacementEstimate>(
     (estimate) => updateEstimate(estimate, load),
     initEstimate(EXPERTS),
@@ -41,14 +41,14 @@
 
 describe('decidePlacement', () => {
   it('lowers the skew of a skewed load', () => {
-    const { skewBefore, skewAfter, reason } = decidePlacement(MAP, learn(zipf(0), 8), policy(0.8));
+    const { skewBefore, skewAfter, reason } = decidePlacement(MAP, estimateFrom(zipf(0), 8), policy(0.8));
     assert.equal(reason, 'improved');
     assert.ok(skewBefore > 2 && skewAfter < 1.25, `${skewBefore} -> ${skewAfter}`);
   });
 
   // The manifest weighs the cost of moving more: fewer experts are copied, at more skew.
   it('moves fewer experts the less the skew weighs', () => {
-    const estimate = learn(zipf(0), 8);
+    const estimate = estimateFrom(zipf(0), 8);
     const skewed = decidePlacement(MAP, estimate, policy(0.9));
     const costly = decidePlacement(MAP, estimate, policy(0.02));
     assert.ok(costly.moves.length < skewed.moves.length);
@@ -56,12 +56,12 @@
   });
 
   it('keeps to the moves that the weight store allows', () => {
-    assert.ok(decidePlacement(MAP, learn(zipf(0), 8), policy(0.9, 3)).moves.length <= 3);
+    assert.ok(decidePlacement(MAP, estimateFrom(zipf(0), 8), policy(0.9, 3)).moves.length <= 3);
   });
 
   it('gives a slow rank less', () => {
     const speeds = Array.from({ length: RANKS }, (_rank, i) => (i === 0 ? 0.5 : 1));
-    const estimate = learn(zipf(0), 8);
+    const estimate = estimateFrom(zipf(0), 8);
     const { map } = decidePlacement(MAP, estimate, { ...policy(0.9), speeds });
     const loads = rankLoads(map, estimate.mean, speeds);
     assert.ok(skewOf(loads) < skewOf(rankLoads(MAP, estimate.mean, speeds)));
@@ -72,7 +72,7 @@
   it('keeps every expert placed and every rank at its slots', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(1_000), { minLength: EXPERTS, maxLength: EXPERTS }), (load) => {
-        const { map } = decidePlacement(MAP, learn(load, 3), policy(0.9));
+        const { map } = decidePlacement(MAP, estimateFrom(load, 3), policy(0.9));
         assert.equal(new Set(map.flat()).size, EXPERTS);
         map.forEach((slots) => assert.equal(new Set(slots).size, SLOTS));
       }),
--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -100,16 +100,16 @@
 } from './LeaseRenewals.js';
 export {
   ARM_AHEAD_STEPS,
-  CHANGE_LIMIT_MS,
-  initMapChange,
+  CHANGE_TIMEOUT_MS,
+  initMapCommit,
   ORDER_RETRY_MS,
-  stepMapChange,
-  type MapChangeInput,
-  type MapChangeOutput,
-  type MapChangeState,
+  stepMapCommit,
+  type MapCommitInput,
+  type MapCommitOutput,
+  type MapCommitState,
   type RankOrder,
   type RankStatus,
-} from './MapChange.js';
+} from './MapCommit.js';
 export {
   attachedRecords,
   EMPTY_MEMBERSHIP,
@@ -128,20 +128,20 @@
   type MembershipView,
 } from './MembershipView.js';
 export {
-  FRESH_ORDER_GATE,
-  judgeOrder,
-  learnToken,
-  settleOrder,
+  INITIAL_ORDER_GATE,
+  checkOrder,
+  raiseHighestToken,
+  completeOrder,
   type OrderGateState,
   type OrderVerdict,
 } from './OrderGate.js';
 export {
   BUDGET_BYTES_PER_SECOND,
-  initPacing,
-  JOIN_BYTES,
+  initTokenBucket,
+  INITIAL_BUCKET_BYTES,
   takeBytes,
-  type PacingState,
-} from './Pacing.js';
+  type TokenBucket,
+} from './TokenBucket.js';
 export {
   decidePlacement,
   rankLoads,
@@ -243,22 +243,22 @@
   expectedLoad,
   initDemand,
   packDemand,
-  takeCounts,
+  recordCounts,
   type DemandState,
   type ExpertCounts,
   type PackedDemand,
 } from './DemandEstimate.js';
-export { gainWanted, isPlanDue, type PassOutlook, type PlanOutlook } from './MapGain.js';
-export { slowRanks } from './MapPaces.js';
-export { planMap, type MapPlanned, type MapPolicy, type MapShape } from './MapPlan.js';
-export { initMapSwitch, PREPARE_MS, stepMapSwitch } from './MapSwitch.js';
+export { requiredGain, isPlanDue, type PlanConditions, type PlanHistory } from './MapPlanTrigger.js';
+export { slowRanks } from './RankSlowdown.js';
+export { planMap, type PlannedMap, type MapPolicy, type MapShape } from './MapPlan.js';
+export { initMapSwitch, PREPARE_TIMEOUT_MS, stepMapSwitch } from './MapSwitch.js';
 export {
   isStalled,
-  NO_PASSES,
-  restartPasses,
-  watchPass,
-  type PassWatchState,
-} from './PassWatch.js';
+  INITIAL_PASS_MONITOR,
+  resetMeasurement,
+  observeReport,
+  type PassMonitor,
+} from './PassMonitor.js';
 export type {
   MapSwitchInput,
   MapSwitchOutput,
@@ -269,9 +269,9 @@
   passCorrection,
   passTime,
   skewCorrection,
-  USUAL_CORRECTION,
-  writersWithin,
-  writeTime,
+  DEFAULT_PASS_CORRECTION,
+  maxWritersFor,
+  generationTime,
 } from './EngineModel.js';
 export {
   dropStaleLoad,
@@ -301,10 +301,10 @@
   type StreamQueue,
   type WaitingRequest,
 } from './StreamQueue.js';
-export { addIncrements, countedRanks, packIncrements, type PackedCounts } from './DemandCounts.js';
+export { addIncrements, sampledRanks, packIncrements, type PackedCounts } from './DemandCounts.js';
 export { MapStages, type MapStageTimes } from './MapStages.js';
 export { applyMapDiff, diffMap, type MapRow } from './MapDiff.js';
 export { awaitsReport } from './MapSwitchOrders.js';
 export { hasHolderTerminated, holderName, type LeaseHolder } from './LeaseHolder.js';
 export { STARTUP_WINDOW_MS, startupWaitMs } from './StartupWait.js';
-export { endSettling, isSettlingDue, openSettling, SETTLED, type Settling } from './Settling.js';
+export { finishUpdate, isUpdateDue, requestUpdate, IDLE_THROTTLE, type UpdateThrottle } from './UpdateThrottle.js';
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -6,7 +6,7 @@
 import {
   attachedRecords,
   EMPTY_MEMBERSHIP,
-  initPacing,
+  initTokenBucket,
   initRollout,
   stepMembership,
   stepRollout,
@@ -78,7 +78,7 @@
 
 /** Sends at a pace that stays inside the receiver's budget. */
 function pacedSender(link: TransportLink, now: () => number): PartsSender {
-  let pacing = initPacing(now());
+  let pacing = initTokenBucket(now());
   return new PartsSender(link, (bytes) => {
     const { state, waitMs } = takeBytes(pacing, bytes, now());
     pacing = state;
--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -14,7 +14,7 @@
   admitWaiting,
   retryDelayMs,
   applyGroupLoad,
-  writeTime,
+  generationTime,
   type GroupSlots,
   type GroupRank,
   type SlotParameters,
@@ -427,7 +427,7 @@
     );
     const passMs = groups.reduce((total, group) => total + group.passMs, 0) / groups.length;
     const { costs } = model;
-    const writeMs = (tokens: number): number => writeTime(costs, tokens, passMs);
+    const writeMs = (tokens: number): number => generationTime(costs, tokens, passMs);
     return {
       free: Math.max(0, free),
       isRecovering: this.#isRecovering(service),
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -4,23 +4,23 @@
   addIncrements,
   adoptDemand,
   awaitsReport,
-  countedRanks,
+  sampledRanks,
   expectedLoad,
   initDemand,
   initMapSwitch,
   isPlanDue,
   isStalled,
-  gainWanted,
+  requiredGain,
   MapStages,
   mayCoordinate,
-  NO_PASSES,
+  INITIAL_PASS_MONITOR,
   packDemand,
   planMap,
-  restartPasses,
+  resetMeasurement,
   slowRanks,
   stepMapSwitch,
-  takeCounts,
-  watchPass,
+  recordCounts,
+  observeReport,
   type DemandState,
   type ExpertCounts,
   type MapPolicy,
@@ -28,7 +28,7 @@
   type MapSwitchInput,
   type MapSwitchOutput,
   type MapSwitchState,
-  type PassWatchState,
+  type PassMonitor,
 } from '../../coordination/index.js';
 import type { GroupLoad, GroupMap, RankReport } from '../../protocol/index.js';
 import type { DaemonCoordinator } from '../DaemonCoordinator.js';
@@ -130,7 +130,7 @@
 
   readonly #stages = new MapStages();
 
-  #passes: PassWatchState = NO_PASSES;
+  #passes: PassMonitor = INITIAL_PASS_MONITOR;
 
   #skew = 1;
 
@@ -206,7 +206,7 @@
   /** Ranks whose counts are read: all of a small group, a part of a large one. */
   get #toCount(): ReadonlySet<number> {
     const terms = this.#options.policy();
-    return countedRanks(this.#options.ranks, terms?.expertsInAll ?? 0);
+    return sampledRanks(this.#options.ranks, terms?.expertsInAll ?? 0);
   }
 
   #followLease(): void {
@@ -294,7 +294,7 @@
       this.#newestAt = this.#options.runtime.now();
     }
     if (rank === this.#options.own) {
-      this.#passes = watchPass(this.#passes, report, this.#options.runtime.now());
+      this.#passes = observeReport(this.#passes, report, this.#options.runtime.now());
     }
     this.#input({ type: 'report', rank, report });
     this.#planAnew();
@@ -321,7 +321,7 @@
   #endRound(): void {
     this.#awaited.clear();
     const counts = this.#counts.map((item, rank) => (this.#counted.has(rank) ? item : null));
-    this.#demand = takeCounts(this.#demand, counts);
+    this.#demand = recordCounts(this.#demand, counts);
     this.#publish();
     this.#plan();
   }
@@ -351,7 +351,7 @@
     const isDue = isPlanDue({
       plannedMsAgo: now - this.#plannedAt,
       formedMsAgo: now - this.#resetAt,
-      plannedShifts: this.#plannedShifts,
+      shiftsAtPlan: this.#plannedShifts,
       shifts: this.#demand.shifts,
     });
     if (this.#switch.phase === 'idle' && this.#map !== null && isDue) {
@@ -426,10 +426,10 @@
     const outlook = {
       passMs: this.#passes.passMs,
       pauseMs,
-      usesFirstMap: this.#usesFirstMap,
+      usesInitialMap: this.#usesFirstMap,
       formedMsAgo: this.#options.runtime.now() - this.#resetAt,
     };
-    return gainWanted(outlook, policy.gainPerCopy);
+    return requiredGain(outlook, policy.gainPerCopy);
   }
 
   #input(input: MapSwitchInput): void {
@@ -481,7 +481,7 @@
         this.#forgetMap();
         this.#resetAt = runtime.now();
         this.#skew = this.#usesFirstMap ? this.#firstSkew : this.#skew;
-        this.#passes = restartPasses(this.#passes);
+        this.#passes = resetMeasurement(this.#passes);
         log.warn({ event: 'group_reset', group, epoch: output.epoch }, 'the group formed anew');
     }
   }
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -2,23 +2,23 @@
 import {
   countFirstAttempt,
   EMPTY_RETRY_BUDGET,
-  endSettling,
+  finishUpdate,
   FRESHNESS_LEASE_FRACTION,
   receiveConfig,
   initRouting,
   isFresh,
   isProven,
-  isSettlingDue,
+  isUpdateDue,
   incarnationKeyOf,
   mergeDelta,
   QUARANTINE_CRASHES,
-  openSettling,
+  requestUpdate,
   receiveNewestIndex,
   pruneView,
   routeRequest,
   serviceKey,
   servingMembers,
-  SETTLED,
+  IDLE_THROTTLE,
   takeRetryWithin,
   UNPROVEN,
   updateRouting,
@@ -29,7 +29,7 @@
   type RetryBudgetState,
   type RoutingDecision,
   type RoutingState,
-  type Settling,
+  type UpdateThrottle,
 } from '../../coordination/index.js';
 import type {
   DirectoryDelta,
@@ -112,7 +112,7 @@
   #view: MembershipView = new Map();
 
   /** Members that have changed since their view was last worked out. */
-  #settling: Settling = SETTLED;
+  #settling: UpdateThrottle = IDLE_THROTTLE;
 
   #routing: RoutingState;
 
@@ -216,13 +216,13 @@
   onDirectory(delta: DirectoryDelta): void {
     this.screening.onMembers(delta.records, (id) => !this.#view.has(id));
     this.#view = mergeDelta(this.#view, delta, this.now());
-    this.#settling = openSettling(this.#settling);
+    this.#settling = requestUpdate(this.#settling);
     this.settle();
   }
 
   /** Works out what follows from members that have changed, a little later where many do one after the other. */
   settle(): void {
-    if (isSettlingDue(this.#settling, this.now())) {
+    if (isUpdateDue(this.#settling, this.now())) {
       this.#setView(this.#view);
     }
   }
@@ -419,7 +419,7 @@
 
   #setView(view: MembershipView): void {
     this.#view = view;
-    this.#settling = endSettling(this.now());
+    this.#settling = finishUpdate(this.now());
     const serving = servingMembers(view).filter((record) => !this.#gone.has(incarnationKeyOf(record)));
     const entries = serving.filter(({ role }) => role === 'entry').map(({ id }) => id);
     this.#entryHosts = entries.length;
--- a/src/daemon/direct/DirectMapTerms.ts
+++ b/src/daemon/direct/DirectMapTerms.ts
@@ -22,7 +22,7 @@
 export function mapPolicy({ copyMs, mostNew, sets }: EngineCosts): MapPolicy {
   const all = mostNew * sets;
   const inTime = copyMs > 0 ? Math.floor(COPYING_MS / copyMs) : all;
-  return { mostNewPerRank: Math.max(1, Math.min(all, inTime)), gainPerCopy: GAIN_PER_COPY };
+  return { maxCopiesPerRank: Math.max(1, Math.min(all, inTime)), gainPerCopy: GAIN_PER_COPY };
 }
 
 /** Reads from the configuration what limits a change of map. */
@@ -45,7 +45,7 @@
     return costs === null
       ? null
       : {
-          shape: { slotsPerRank: costs.slotsPerRank, mostNew: costs.mostNew },
+          shape: { slotsPerRank: costs.slotsPerRank, maxNewExperts: costs.mostNew },
           policy: mapPolicy(costs),
           pauseMs: this.#pauseMs,
           expertsInAll: costs.sets * costs.experts,
--- a/src/daemon/direct/__tests__/unit/DirectMapTerms.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectMapTerms.test.ts
@@ -25,13 +25,13 @@
   // to copy as many experts as it may, the change would take seconds where experts are large; were the
   // number fixed for large ones, it would take several changes where they are small.
   it('lets a change copy for about 0.3 s, whatever the size of an expert', () => {
-    assert.equal(mapPolicy(COSTS).mostNewPerRank, 2);
-    assert.equal(mapPolicy({ ...COSTS, copyMs: 27, sets: 16, mostNew: 2 }).mostNewPerRank, 10);
+    assert.equal(mapPolicy(COSTS).maxCopiesPerRank, 2);
+    assert.equal(mapPolicy({ ...COSTS, copyMs: 27, sets: 16, mostNew: 2 }).maxCopiesPerRank, 10);
   });
 
   it('asks for no more copies than an engine takes, and for one at least', () => {
-    assert.equal(mapPolicy({ ...COSTS, copyMs: 1 }).mostNewPerRank, 12);
-    assert.equal(mapPolicy({ ...COSTS, copyMs: 0 }).mostNewPerRank, 12);
-    assert.equal(mapPolicy({ ...COSTS, copyMs: 2_000 }).mostNewPerRank, 1);
+    assert.equal(mapPolicy({ ...COSTS, copyMs: 1 }).maxCopiesPerRank, 12);
+    assert.equal(mapPolicy({ ...COSTS, copyMs: 0 }).maxCopiesPerRank, 12);
+    assert.equal(mapPolicy({ ...COSTS, copyMs: 2_000 }).maxCopiesPerRank, 1);
   });
 });
