--- a/src/daemon/DaemonApp.ts
+++ b/src/daemon/DaemonApp.ts
@@ -7,7 +7,7 @@
 export type ReadinessCheck = () => { readonly ready: boolean; readonly reason: string };
 
 /** Answers an error as JSON, with when to come back where that helps. */
-export function answerError(ctx: Context, err: unknown, requestId?: string): void {
+export function sendError(ctx: Context, err: unknown, requestId?: string): void {
   const error =
     err instanceof RequestError ? err : new RequestError('endpoint_failed', (err as Error).message);
   ctx.status = error.status;
--- a/src/daemon/DaemonSharedRead.ts
+++ b/src/daemon/DaemonCoalescedRead.ts
@@ -2,7 +2,7 @@
  * One read for many callers: those that ask while a read is under way share the next one. The answer
  * that a caller gets was asked for after the caller asked, which is what makes it proof of freshness.
  */
-export class SharedRead<T> {
+export class CoalescedRead<T> {
   readonly #read: () => Promise<T>;
 
   #running: Promise<unknown> | null = null;
--- a/src/daemon/DaemonConsensus.ts
+++ b/src/daemon/DaemonConsensus.ts
@@ -25,17 +25,17 @@
   type StateDataFolder,
 } from '../state/index.js';
 import {
-  journalOf,
+  toJournal,
   recoverJournal,
   toRecord,
   type JournalRecord,
 } from './DaemonConsensusJournal.js';
 
 /** How long a proposal or read may take before its caller is told that it is open. In ms. */
-const WAIT_MS = 2_500;
+const REQUEST_TIMEOUT_MS = 2_500;
 
 /** How often a disk that refuses writes is tried again, ms. */
-const DISK_RETRY_MS = 150;
+const DISK_RETRY_INTERVAL_MS = 150;
 
 /** What the task needs. */
 export interface ConsensusTaskOptions {
@@ -46,23 +46,23 @@
   readonly rng: RandomGenerator;
   readonly send: (to: string, message: ConsensusMessage) => void;
   /** Called after the replicated state has changed, or may have. */
-  readonly onApplied: (state: ControlState) => void;
+  readonly onStateChange: (state: ControlState) => void;
 }
 
 type Performers = {
   readonly [T in ConsensusOutput['type']]?: (output: Extract<ConsensusOutput, { type: T }>) => void;
 };
 
-interface Waiter<T> {
+interface PendingRequest<T> {
   readonly resolve: (value: T) => void;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-type Waiters<T> = Map<string, Waiter<T>>;
+type PendingRequests<T> = Map<string, PendingRequest<T>>;
 
-function settle<T>(waiters: Waiters<T>, id: string, value: T): void {
-  waiters.get(id)?.resolve(value);
-  waiters.delete(id);
+function settle<T>(pending: PendingRequests<T>, id: string, value: T): void {
+  pending.get(id)?.resolve(value);
+  pending.delete(id);
 }
 
 /** Result of a proposal; `null` when it was refused, lost or not decided in time. */
@@ -72,26 +72,26 @@
 export class DaemonConsensus {
   readonly #options: ConsensusTaskOptions;
 
-  readonly #proposals = new Map() as Waiters<ProposalResult>;
+  readonly #proposals = new Map() as PendingRequests<ProposalResult>;
 
   /** Proposals in the log by index, with the term they were made in. */
-  readonly #placed = new Map<number, { readonly id: string; readonly term: number }>();
+  readonly #proposalsByIndex = new Map<number, { readonly id: string; readonly term: number }>();
 
-  readonly #reads = new Map() as Waiters<number | null>;
+  readonly #reads = new Map() as PendingRequests<number | null>;
 
   /** How each output is carried out, once all of its batch is synced. */
   readonly #performers: Performers = {
     send: ({ to, message }) => this.#options.send(to, message),
     commit: ({ entries }) => {
       this.#applyEntries(entries);
-      this.#options.onApplied(this.#control);
+      this.#options.onStateChange(this.#control);
     },
     restore: ({ snapshot }) => {
       this.#control = snapshot.image as ControlState;
-      this.#options.onApplied(this.#control);
+      this.#options.onStateChange(this.#control);
     },
     proposed: ({ id, index, term }) => {
-      this.#placed.set(index, { id, term });
+      this.#proposalsByIndex.set(index, { id, term });
     },
     refused: ({ id }) => {
       settle(this.#proposals, id, null);
@@ -107,11 +107,11 @@
 
   #mailbox: ConsensusInput[] = [];
 
-  #running = false;
+  #isDraining = false;
 
   #counter = 0;
 
-  #dead = false;
+  #hasFailed = false;
 
   constructor(options: ConsensusTaskOptions) {
     this.#options = options;
@@ -119,9 +119,9 @@
     this.#control = (recovery.snapshot.image as ControlState | null) ?? EMPTY_CONTROL;
     this.#state = initConsensus(options.folder.identity.replica, recovery, this.#context());
     // What was handed out before the restart was committed; it is applied again at once.
-    const known = recovery.log.filter(({ index }) => index <= commit);
+    const committed = recovery.log.filter(({ index }) => index <= commit);
     this.#state = { ...this.#state, commit: Math.max(recovery.snapshot.index, commit) };
-    this.#applyEntries(known);
+    this.#applyEntries(committed);
     this.#logRecovered();
   }
 
@@ -141,11 +141,11 @@
   /** Takes a message, a tick or a command; outputs follow once they are synced. */
   post(input: ConsensusInput): void {
     this.#mailbox.push(input);
-    if (!this.#running && !this.#dead) {
-      this.#running = true;
-      this.#drain().catch((err: unknown) => {
+    if (!this.#isDraining && !this.#hasFailed) {
+      this.#isDraining = true;
+      this.#drainMailbox().catch((err: unknown) => {
         this.#options.log.fatal({ err }, 'the replica failed');
-        this.#dead = true;
+        this.#hasFailed = true;
         process.exitCode = 1;
         process.kill(process.pid, 'SIGTERM');
       });
@@ -154,21 +154,21 @@
 
   /** Proposes a command; resolves once it is applied here. */
   async propose(command: ControlCommand): Promise<ProposalResult> {
-    return this.#ask(this.#proposals, (id) => ({ type: 'propose', id, command }));
+    return this.#request(this.#proposals, (id) => ({ type: 'propose', id, command }));
   }
 
   /** Proposes new members; resolves with `done` once committed. */
   async changeMembers(members: ConsensusMembers): Promise<ProposalResult> {
-    return this.#ask(this.#proposals, (id) => ({ type: 'members', id, members }));
+    return this.#request(this.#proposals, (id) => ({ type: 'members', id, members }));
   }
 
   /** Index that every acceptance before now is at or below; null if this isn't the leader. */
   async readIndex(): Promise<number | null> {
-    return this.#ask(this.#reads, (id) => ({ type: 'read', id }));
+    return this.#request(this.#reads, (id) => ({ type: 'read', id }));
   }
 
   /** Founds a cluster: this replica's snapshot of nothing names the voters. */
-  async found(members: ConsensusMembers): Promise<void> {
+  async foundCluster(members: ConsensusMembers): Promise<void> {
     const snapshot = { index: 0, term: 0, members, image: EMPTY_CONTROL };
     await this.#options.folder.append([{ kind: 'snapshot', snapshot } satisfies JournalRecord]);
     this.#state = { ...this.#state, snapshot, members };
@@ -177,10 +177,10 @@
   /** Gives up on what has waited too long: the outcome is open, and a resend will tell. */
   expire(): void {
     const now = this.#options.now();
-    const expireIn = <T>(waiters: Waiters<T | null>): void =>
-      waiters.forEach(({ until }, id) => {
-        if (now > until) {
-          settle(waiters, id, null);
+    const expireIn = <T>(pending: PendingRequests<T | null>): void =>
+      pending.forEach(({ expiresAt }, id) => {
+        if (now > expiresAt) {
+          settle(pending, id, null);
         }
       });
     expireIn(this.#proposals);
@@ -208,27 +208,27 @@
     return { now: this.#options.now(), rng: this.#options.rng };
   }
 
-  async #ask<T>(waiters: Waiters<T>, makeInput: (id: string) => ConsensusInput): Promise<T> {
+  async #request<T>(pending: PendingRequests<T>, makeInput: (id: string) => ConsensusInput): Promise<T> {
     this.#counter += 1;
     const id = `${this.#counter}`;
     return new Promise((resolve) => {
-      waiters.set(id, { resolve, until: this.#options.now() + WAIT_MS });
+      pending.set(id, { resolve, expiresAt: this.#options.now() + REQUEST_TIMEOUT_MS });
       this.post(makeInput(id));
     });
   }
 
-  async #drain(): Promise<void> {
+  async #drainMailbox(): Promise<void> {
     while (this.#mailbox.length > 0) {
       const inputs = this.#mailbox;
       this.#mailbox = [];
       const outputs = inputs.flatMap((input) => this.#step(input));
       // One batch after another: the sync below is what the next batch's promises rest on.
       // eslint-disable-next-line no-await-in-loop
-      await this.#persistAtLast(outputs);
+      await this.#persistWithRetries(outputs);
       outputs.forEach((output) => this.#performers[output.type]?.(output as never));
       this.#compact();
     }
-    this.#running = false;
+    this.#isDraining = false;
   }
 
   #step(input: ConsensusInput): readonly ConsensusOutput[] {
@@ -244,7 +244,7 @@
    * takes its hub down too, and comes back to the same disk. Enough: until its batch is synced a
    * replica sends nothing, which to the others is a replica that is down; they elect another leader.
    */
-  async #persistAtLast(outputs: readonly ConsensusOutput[]): Promise<void> {
+  async #persistWithRetries(outputs: readonly ConsensusOutput[]): Promise<void> {
     let failures = 0;
     for (;;) {
       try {
@@ -260,15 +260,15 @@
         }
         failures += 1;
         // eslint-disable-next-line no-await-in-loop
-        await delay(DISK_RETRY_MS);
+        await delay(DISK_RETRY_INTERVAL_MS);
       }
     }
   }
 
   async #persist(outputs: readonly ConsensusOutput[]): Promise<void> {
-    const snapshots = outputs.some(({ type }) => type === 'persistSnapshot');
-    if (snapshots) {
-      await this.#options.folder.rewrite(journalOf(this.#state));
+    const hasSnapshot = outputs.some(({ type }) => type === 'persistSnapshot');
+    if (hasSnapshot) {
+      await this.#options.folder.rewrite(toJournal(this.#state));
       return;
     }
     const records = outputs.flatMap(toRecord);
@@ -284,11 +284,11 @@
           ? applyCommand(this.#control, payload.command as ControlCommand, index)
           : { state: { ...this.#control, index }, result: { result: 'done' } as const };
       this.#control = applied.state;
-      const placed = this.#placed.get(index);
-      if (placed !== undefined) {
-        this.#placed.delete(index);
+      const proposal = this.#proposalsByIndex.get(index);
+      if (proposal !== undefined) {
+        this.#proposalsByIndex.delete(index);
         // Another leader's entry stands where ours did: ours was lost.
-        settle(this.#proposals, placed.id, placed.term === term ? applied.result : null);
+        settle(this.#proposals, proposal.id, proposal.term === term ? applied.result : null);
       }
     });
   }
--- a/src/daemon/DaemonConsensusJournal.ts
+++ b/src/daemon/DaemonConsensusJournal.ts
@@ -40,7 +40,7 @@
 }
 
 /** A journal that holds just a replica's state. */
-export function journalOf(state: ConsensusState): readonly JournalRecord[] {
+export function toJournal(state: ConsensusState): readonly JournalRecord[] {
   return [
     { kind: 'snapshot', snapshot: state.snapshot },
     { kind: 'hard', term: state.term, vote: state.vote },
@@ -55,7 +55,7 @@
   readonly commit: number;
 }
 
-function take({ recovery, commit }: Recovered, record: JournalRecord): Recovered {
+function applyRecord({ recovery, commit }: Recovered, record: JournalRecord): Recovered {
   switch (record.kind) {
     case 'hard':
       return { recovery: { ...recovery, hard: { term: record.term, vote: record.vote } }, commit };
@@ -74,7 +74,7 @@
 
 /** Reads a journal from its first record to its last. */
 export function recoverJournal(records: readonly unknown[]): Recovered {
-  return (records as readonly JournalRecord[]).reduce(take, {
+  return (records as readonly JournalRecord[]).reduce(applyRecord, {
     recovery: { hard: { term: 0, vote: null }, snapshot: EMPTY_SNAPSHOT, log: [] },
     commit: 0,
   });
--- a/src/daemon/DaemonControl.ts
+++ b/src/daemon/DaemonControl.ts
@@ -9,7 +9,7 @@
 import { DaemonTestSwitch } from './DaemonTestSwitch.js';
 
 /** Disks that may be lost at once: one, as control hosts stand one an AZ and one AZ at a time may be lost. */
-const LOSSES_BORNE = 1;
+const TOLERATED_DISK_LOSSES = 1;
 
 /** Runs a control process until the signal. */
 export async function runControl(
@@ -26,7 +26,7 @@
       bind: cfg.link,
       dataFolder: cfg['data-folder'],
       compactEvery: cfg['compact-every'],
-      lossesBorne: LOSSES_BORNE,
+      lossesBorne: TOLERATED_DISK_LOSSES,
       founders: cfg.control.map(({ name }) => name),
       targets: () => cfg.control,
       locate: (name) => cfg.control.find((target) => target.name === name)?.address,
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -10,40 +10,40 @@
 import { DaemonControlPeers } from './DaemonControlPeers.js';
 import {
   DaemonControlService,
-  type LeaseAsk,
+  type LeaseRequest,
   type LeaseReply,
-  type ReplaceAsk,
+  type ReplaceRequest,
 } from './DaemonControlService.js';
 import { DaemonHub } from './DaemonHub.js';
-import { every, type Runtime } from './DaemonRuntime.js';
+import { runEvery, type Runtime } from './DaemonRuntime.js';
 import type { ControlTarget } from './DaemonSettings.js';
-import { SharedRead } from './DaemonSharedRead.js';
+import { CoalescedRead } from './DaemonCoalescedRead.js';
 import type { DaemonTestSwitch } from './DaemonTestSwitch.js';
 
 const TICK_MS = 50;
 const HUB_TICK_MS = 500;
-const FORM_MS = 500;
+const CLUSTER_CHECK_INTERVAL_MS = 500;
 
 /**
  * How often the leader looks whether a learner has caught up or a voter is gone, ms. Until a lost disk is
  * made up for, the next one counts double; a look costs some microseconds.
  */
-const TEND_MS = 100;
+const VOTER_CHECK_INTERVAL_MS = 100;
 
 /**
  * How long a read of the newest index may take: some hundred round trips between AZs. Longer ones mean
  * that the leader is gone, and whoever asks does better to ask elsewhere. In ms.
  */
-const READ_MS = 800;
+const READ_TIMEOUT_MS = 800;
 
 /** How often a replica that is behind, or knows no leader, looks again. In ms. */
-const CATCH_UP_MS = 20;
+const CATCH_UP_POLL_MS = 20;
 
 /** A question that only a leader can answer waits this long for one: an election of hosts that are up. In ms. */
-const LEADER_MS = 400;
+const LEADER_WAIT_MS = 400;
 
 /** How often a replica that isn't sure to hold the newest asks the leader. In ms. */
-const CONFIRM_MS = 50;
+const CONFIRM_INTERVAL_MS = 50;
 
 /** What a control process is made of. */
 export interface ControlCoreOptions {
@@ -74,11 +74,11 @@
   readonly hub: DaemonHub;
   readonly consensus: DaemonConsensus;
   readonly service: DaemonControlService;
-  readonly newest: SharedRead<number>;
+  readonly newest: CoalescedRead<number>;
 }
 
 /** Calls a service at the leader, wherever it is. Rejects if there is none or it is out of reach. */
-async function atLeader<T>(
+async function callLeader<T>(
   { consensus, peers }: Cradle,
   method: string,
   params: unknown,
@@ -95,23 +95,23 @@
 }
 
 /** The leader's word on the newest index; waits a moment where there is no leader yet. */
-async function readAtLeader(cradle: Cradle, until: number): Promise<number | null> {
+async function readIndexAtLeader(cradle: Cradle, until: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
-  const isLed = (): boolean => consensus.state.role === 'leader' || consensus.state.leader !== null;
-  while (!isLed() && runtime.now() < until) {
+  const hasLeader = (): boolean => consensus.state.role === 'leader' || consensus.state.leader !== null;
+  while (!hasLeader() && runtime.now() < until) {
     // eslint-disable-next-line no-await-in-loop
-    await delay(CATCH_UP_MS);
+    await delay(CATCH_UP_POLL_MS);
   }
-  return atLeader<number | null>(cradle, 'leader.readIndex', {}, async () => consensus.readIndex());
+  return callLeader<number | null>(cradle, 'leader.readIndex', {}, async () => consensus.readIndex());
 }
 
 /** Index of the newest configuration, once this replica holds all that was accepted before. */
 async function newestIndex(cradle: Cradle): Promise<number> {
   const { consensus, runtime } = cradle;
-  const until = runtime.now() + READ_MS;
+  const until = runtime.now() + READ_TIMEOUT_MS;
   const index = await Promise.race([
-    readAtLeader(cradle, runtime.now() + LEADER_MS),
-    delay(READ_MS, null, { ref: false }),
+    readIndexAtLeader(cradle, runtime.now() + LEADER_WAIT_MS),
+    delay(READ_TIMEOUT_MS, null, { ref: false }),
   ]);
   if (index === null) {
     throw new Error('no leader with a quorum answered');
@@ -121,7 +121,7 @@
       throw new Error('this replica is behind');
     }
     // eslint-disable-next-line no-await-in-loop
-    await delay(CATCH_UP_MS);
+    await delay(CATCH_UP_POLL_MS);
   }
   return consensus.control.config.index;
 }
@@ -162,10 +162,10 @@
           zone: cfg.zone,
           log: runtime.log,
           now: runtime.now,
-          publish: (records) => peers.publish(records),
+          publishMembers: (records) => peers.publishMembers(records),
           controls: () => peers.controls,
           publishLoad: (load) => peers.publishLoad(load),
-          publishNews: (topic, news) => peers.publishNews(topic, news),
+          publishUpdate: (topic, update) => peers.publishUpdate(topic, update),
         }),
     ).singleton(),
     consensus: asFunction(
@@ -177,7 +177,7 @@
           now: runtime.now,
           rng: runtime.rng,
           send: (to, message) => peers.send(to, message),
-          onApplied: (state) => hub.onControl(state),
+          onStateChange: (state) => hub.onControlState(state),
         }),
     ).singleton(),
     service: asFunction(
@@ -191,24 +191,24 @@
           recordOf: (id) => hub.membership.directory.get(id),
         }),
     ).singleton(),
-    newest: asFunction(() => new SharedRead(async () => newestIndex(container.cradle))).singleton(),
+    newest: asFunction(() => new CoalescedRead(async () => newestIndex(container.cradle))).singleton(),
   });
   return container.cradle;
 }
 
 function leaderHandlers({ service, consensus }: Cradle): LinkHandlers {
   return {
-    'leader.replace': async (params) => service.replace(params as ReplaceAsk),
+    'leader.replace': async (params) => service.replace(params as ReplaceRequest),
     'leader.submit': async (params) => service.submit(params as Manifest),
-    'leader.lease': async (params) => service.askLease(params as LeaseAsk),
+    'leader.lease': async (params) => service.requestLease(params as LeaseRequest),
     'leader.join': async (params) => service.join((params as { replica: string }).replica),
     'leader.readIndex': async () => consensus.readIndex(),
   };
 }
 
-async function submitAnywhere(cradle: Cradle, manifest: Manifest): Promise<SubmitReply> {
+async function submitViaLeader(cradle: Cradle, manifest: Manifest): Promise<SubmitReply> {
   try {
-    return await atLeader(cradle, 'leader.submit', manifest, async () =>
+    return await callLeader(cradle, 'leader.submit', manifest, async () =>
       cradle.service.submit(manifest),
     );
   } catch (err) {
@@ -221,64 +221,64 @@
   const { cfg, service, consensus, hub } = cradle;
   return {
     'lease.ask': async (params): Promise<LeaseReply> => {
-      const ask = params as LeaseAsk;
-      return atLeader(cradle, 'leader.lease', ask, async () => service.askLease(ask)).catch(
+      const leaseRequest = params as LeaseRequest;
+      return callLeader(cradle, 'leader.lease', leaseRequest, async () => service.requestLease(leaseRequest)).catch(
         (): LeaseReply => ({ result: 'failed' }),
       );
     },
     'config.newest': async () => cradle.newest.read(),
     'control.join': async (params) => {
       const { replica } = params as { replica: string };
-      return atLeader(cradle, 'leader.join', params, async () => service.join(replica));
+      return callLeader(cradle, 'leader.join', params, async () => service.join(replica));
     },
     'control.status': () => controlStatus(cfg.id, consensus, hub),
   };
 }
 
 /** Confirms with the leader that this replica holds all that was accepted. */
-async function confirm(cradle: Cradle): Promise<void> {
+async function confirmUpToDate(cradle: Cradle): Promise<void> {
   const { consensus, hub } = cradle;
   if (hub.rollout.phase === 'checked') {
     return;
   }
-  const index = await atLeader<number | null>(cradle, 'leader.readIndex', {}, async () =>
+  const index = await callLeader<number | null>(cradle, 'leader.readIndex', {}, async () =>
     consensus.readIndex(),
   );
   if (index !== null && consensus.control.index >= index) {
-    hub.onControl(consensus.control);
+    hub.onControlState(consensus.control);
     hub.onConfirmed();
   }
 }
 
 function runTasks(cradle: Cradle): void {
   const { consensus, hub, peers, service, runtime, signal } = cradle;
-  const quietly = (task: Promise<void>): void => {
+  const runLoggingErrors = (task: Promise<void>): void => {
     task.catch((err: unknown) => runtime.log.debug({ err: (err as Error).message }, 'not yet'));
   };
-  hub.onControl(consensus.control);
-  every(TICK_MS, signal, () => {
+  hub.onControlState(consensus.control);
+  runEvery(TICK_MS, signal, () => {
     if (consensus.isFormed) {
       consensus.post({ type: 'tick' });
     }
     consensus.expire();
   });
-  every(HUB_TICK_MS, signal, () => hub.tick());
+  runEvery(HUB_TICK_MS, signal, () => hub.tick());
   let confirming = false;
-  every(CONFIRM_MS, signal, () => {
+  runEvery(CONFIRM_INTERVAL_MS, signal, () => {
     if (!confirming) {
       confirming = true;
-      quietly(
-        confirm(cradle).finally(() => {
+      runLoggingErrors(
+        confirmUpToDate(cradle).finally(() => {
           confirming = false;
         }),
       );
     }
   });
-  every(FORM_MS, signal, () => {
-    quietly(peers.form());
+  runEvery(CLUSTER_CHECK_INTERVAL_MS, signal, () => {
+    runLoggingErrors(peers.formOrJoinCluster());
   });
-  every(TEND_MS, signal, () => {
-    quietly(service.tendMembers());
+  runEvery(VOTER_CHECK_INTERVAL_MS, signal, () => {
+    runLoggingErrors(service.updateVoters());
   });
 }
 
@@ -289,17 +289,17 @@
   readonly hub: DaemonHub;
   submit: (manifest: Manifest) => Promise<SubmitReply>;
   /** Replaces a fleet's configuration by a document. */
-  replace: (ask: ReplaceAsk) => Promise<SubmitReply>;
+  replace: (request: ReplaceRequest) => Promise<SubmitReply>;
   /** The newest configuration. Rejects where this process can't be sure which that is. */
   readNewest: () => Promise<ConfigState>;
   /** What each control process in reach tells of itself, this one first. */
   status: () => Promise<readonly ControlStatus[]>;
 }
 
-function replaceAnywhere(cradle: Cradle): ControlCore['replace'] {
-  return async (ask) => {
+function replaceViaLeader(cradle: Cradle): ControlCore['replace'] {
+  return async (replacement) => {
     try {
-      return await atLeader(cradle, 'leader.replace', ask, async () => cradle.service.replace(ask));
+      return await callLeader(cradle, 'leader.replace', replacement, async () => cradle.service.replace(replacement));
     } catch (err) {
       return { result: 'unavailable', reason: (err as Error).message };
     }
@@ -332,8 +332,8 @@
     replica: folder.identity.replica,
     consensus,
     hub,
-    submit: async (manifest) => submitAnywhere(cradle, manifest),
-    replace: replaceAnywhere(cradle),
+    submit: async (manifest) => submitViaLeader(cradle, manifest),
+    replace: replaceViaLeader(cradle),
     readNewest: async () => {
       await cradle.newest.read();
       return consensus.control.config;
--- a/src/daemon/DaemonControlPeers.ts
+++ b/src/daemon/DaemonControlPeers.ts
@@ -9,7 +9,7 @@
   type LinkSwitch,
 } from '../transport/index.js';
 import type { DaemonConsensus } from './DaemonConsensus.js';
-import type { DaemonHub, SharedNews, SharedTopic } from './DaemonHub.js';
+import type { DaemonHub, SharedUpdate, SharedTopic } from './DaemonHub.js';
 import type { ControlTarget } from './DaemonSettings.js';
 
 /** Who a control process is. */
@@ -57,10 +57,10 @@
   readonly #clients = new Map<string, TransportLinkClient>();
 
   /** Ends the client of one peer. */
-  readonly #stops = new Map<string, AbortController>();
+  readonly #stopControllers = new Map<string, AbortController>();
 
   /** Peers that have said hello, by name. */
-  readonly #known = new Map<string, ControlAddress>();
+  readonly #peerAddresses = new Map<string, ControlAddress>();
 
   #leaderlessLoggedAt = -Infinity;
 
@@ -72,7 +72,7 @@
   /** Control processes known here, this one first. */
   get controls(): readonly ControlAddress[] {
     const { self, zone, address } = this.#options;
-    return [{ name: self, zone, address }, ...this.#known.values()];
+    return [{ name: self, zone, address }, ...this.#peerAddresses.values()];
   }
 
   /** Methods for the other control processes. */
@@ -83,9 +83,9 @@
         const { from, self } = params as { from: string; self: ControlAddress };
         // eslint-disable-next-line no-param-reassign
         link.peer = from;
-        this.#known.set(from, self);
+        this.#peerAddresses.set(from, self);
         this.#connect(self);
-        hub().onControls();
+        hub().onControlsChanged();
       },
       raft: (params) => {
         const { to, from, message } = params as RaftParams;
@@ -95,13 +95,13 @@
         }
       },
       'control.identity': () => this.identity,
-      'control.found': async (params) => this.#onFound(params as { voters: readonly string[] }),
+      'control.found': async (params) => this.#foundCluster(params as { voters: readonly string[] }),
       'control.load': (params) => hub().onGroupLoad(params as GroupLoad),
-      'control.quarantine': (params) => this.#onNews('quarantine', params),
-      'control.limits': (params) => this.#onNews('limits', params),
+      'control.quarantine': (params) => this.#onUpdate('quarantine', params),
+      'control.limits': (params) => this.#onUpdate('limits', params),
       'control.directory': (params) => {
         const { from, ...delta } = params as DirectoryDelta & { from: string };
-        hub().onPeer(from, delta);
+        hub().onPeerDirectory(from, delta);
       },
     };
   }
@@ -125,8 +125,8 @@
   }
 
   /** Sends news of members to all. */
-  publish(records: readonly MemberRecord[]): void {
-    const delta = this.#directory(false, records);
+  publishMembers(records: readonly MemberRecord[]): void {
+    const delta = this.#directoryDelta(false, records);
     this.#clients.forEach((client) => client.notify('control.directory', delta));
   }
 
@@ -136,17 +136,17 @@
   }
 
   /** Sends news of what all entry and control processes hold to all. */
-  publishNews(topic: SharedTopic, news: SharedNews): void {
-    this.#clients.forEach((_client, name) => this.#sendNews(name, topic, news));
+  publishUpdate(topic: SharedTopic, update: SharedUpdate): void {
+    this.#clients.forEach((_client, name) => this.#sendUpdate(name, topic, update));
   }
 
-  #sendNews(to: string, topic: SharedTopic, news: SharedNews): void {
-    this.#clients.get(to)?.notify(`control.${topic}`, { from: this.#options.self, ...news });
+  #sendUpdate(to: string, topic: SharedTopic, update: SharedUpdate): void {
+    this.#clients.get(to)?.notify(`control.${topic}`, { from: this.#options.self, ...update });
   }
 
-  #onNews(topic: SharedTopic, params: unknown): void {
-    const { from, ...news } = params as SharedNews & { from: string };
-    this.#options.hub().onShared(topic, news, from, (reply) => this.#sendNews(from, topic, reply));
+  #onUpdate(topic: SharedTopic, params: unknown): void {
+    const { from, ...update } = params as SharedUpdate & { from: string };
+    this.#options.hub().onSharedUpdate(topic, update, from, (reply) => this.#sendUpdate(from, topic, reply));
   }
 
   /** Calls a method at a control process by name. */
@@ -173,8 +173,8 @@
    * founds a second cluster beside the first, and accepted configurations are forgotten. Enough: a
    * cluster is founded only while every configured process answers that it belongs to none.
    */
-  async form(): Promise<void> {
-    this.#follow();
+  async formOrJoinCluster(): Promise<void> {
+    this.#updateLinks();
     const { self, founders, consensus, log } = this.#options;
     if (consensus().isFormed) {
       await this.#rejoin();
@@ -191,7 +191,7 @@
     const others = peers.filter(({ name }) => names.includes(name));
     if (names[0] === self && others.length === names.length - 1) {
       const voters = [this.identity.replica, ...others.map(({ replica }) => replica)];
-      await this.#onFound({ voters });
+      await this.#foundCluster({ voters });
       await this.requestAll('control.found', { voters });
       log.info({ event: 'found', voters }, 'cluster founded');
     }
@@ -206,9 +206,9 @@
    */
   async #rejoin(): Promise<void> {
     const { state } = this.#options.consensus();
-    const member = [...state.members.voters, ...state.members.learners].includes(state.id);
-    const heard = this.#options.now() - state.heardAt < LEADERLESS_MS;
-    if (state.role === 'leader' || (member && heard)) {
+    const isMember = [...state.members.voters, ...state.members.learners].includes(state.id);
+    const hasHeardLeader = this.#options.now() - state.heardAt < LEADERLESS_MS;
+    if (state.role === 'leader' || (isMember && hasHeardLeader)) {
       return;
     }
     this.#logLeaderless(state);
@@ -230,7 +230,7 @@
   }
 
   /** Keeps a link to each member of the log; ends those to hosts that no longer are. */
-  #follow(): void {
+  #updateLinks(): void {
     const { consensus, locate, self } = this.#options;
     const targets = this.#options.targets();
     targets.forEach((target) => this.#connect(target));
@@ -245,9 +245,9 @@
     const kept = new Set([...members, ...targets.map(({ name }) => name), self]);
     [...this.#clients].forEach(([name, client]) => {
       if (!kept.has(name) && client.link === null) {
-        this.#stops.get(name)?.abort();
+        this.#stopControllers.get(name)?.abort();
         this.#clients.delete(name);
-        this.#known.delete(name);
+        this.#peerAddresses.delete(name);
       }
     });
   }
@@ -268,24 +268,24 @@
         link.notify('control.hello', { from: self, self: this.controls[0] });
         // A new link may have missed news: the peer gets the whole list of those attached here.
         const { attached } = hub();
-        link.notify('control.directory', this.#directory(true, attached));
-        hub().introduce((topic, news) => link.notify(`control.${topic}`, { from: self, ...news }));
+        link.notify('control.directory', this.#directoryDelta(true, attached));
+        hub().sendSharedSets((topic, update) => link.notify(`control.${topic}`, { from: self, ...update }));
       },
     });
-    this.#stops.set(name, stop);
+    this.#stopControllers.set(name, stop);
     this.#clients.set(name, client);
   }
 
-  async #onFound({ voters }: { readonly voters: readonly string[] }): Promise<boolean> {
+  async #foundCluster({ voters }: { readonly voters: readonly string[] }): Promise<boolean> {
     const consensus = this.#options.consensus();
     if (consensus.isFormed || !voters.includes(consensus.state.id)) {
       return false;
     }
-    await consensus.found({ voters, learners: [] });
+    await consensus.foundCluster({ voters, learners: [] });
     return true;
   }
 
-  #directory(full: boolean, records: readonly MemberRecord[]): DirectoryDelta & { from: string } {
+  #directoryDelta(full: boolean, records: readonly MemberRecord[]): DirectoryDelta & { from: string } {
     return { full, records, from: this.#options.self };
   }
 }
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -32,10 +32,10 @@
 import type { DaemonConsensus } from './DaemonConsensus.js';
 
 /** Submissions that race are worked out anew this often before the caller is asked to resend. */
-const SUBMIT_TRIES = 4;
+const SUBMIT_ATTEMPTS = 4;
 
 /** A question about a lease. `observe` only asks who holds it. */
-export interface LeaseAsk {
+export interface LeaseRequest {
   readonly group: string;
   readonly holder: string;
   readonly durationMs: number;
@@ -43,14 +43,14 @@
   readonly observe: boolean;
 }
 
-/** Answer to a {@link LeaseAsk}. */
+/** Answer to a {@link LeaseRequest}. */
 export type LeaseReply =
   | { readonly result: 'granted'; readonly lease: LeaseGrant; readonly renewals: number }
   | { readonly result: 'held'; readonly lease: LeaseState }
   | { readonly result: 'failed' };
 
 /** A document that replaces a fleet's configuration, if its version is the highest. */
-export interface ReplaceAsk {
+export interface ReplaceRequest {
   readonly fleet: string;
   readonly version: number;
   readonly digest: string;
@@ -79,12 +79,12 @@
 
   readonly #now: () => number;
 
-  #keeper: LeaseRenewalsState = initLeaseRenewals(0);
+  #renewals: LeaseRenewalsState = initLeaseRenewals(0);
 
-  #keptInTerm = 0;
+  #renewalsTerm = 0;
 
   /** Whether a change of members is on its way. */
-  #tending = false;
+  #isChangingVoters = false;
 
   constructor(options: ControlServiceOptions) {
     this.#options = options;
@@ -126,7 +126,7 @@
           }
         : result;
     };
-    const reply = await attempt(SUBMIT_TRIES);
+    const reply = await attempt(SUBMIT_ATTEMPTS);
     this.#log.info({ event: 'submit', fleet, version, digest, result: reply.result }, 'submission');
     return reply;
   }
@@ -135,8 +135,8 @@
    * Replaces a fleet's configuration. Accepted means that this document or one of a higher version is
    * committed: a version that isn't higher is accepted and changes nothing.
    */
-  async replace(ask: ReplaceAsk): Promise<SubmitReply> {
-    const { fleet, version, digest } = ask;
+  async replace(request: ReplaceRequest): Promise<SubmitReply> {
+    const { fleet, version, digest } = request;
     // Confirms that this replica leads and has applied all that was accepted before.
     if ((await this.#consensus.readIndex()) === null) {
       return { result: 'unavailable', reason: 'no leader with a quorum' };
@@ -147,20 +147,20 @@
       this.#log.info({ event: 'replace', fleet, version, held, result: 'held' }, 'document');
       return { result: 'accepted', fleet, version, digest, index };
     }
-    const result = await this.#consensus.propose({ kind: 'replace', ...ask });
+    const result = await this.#consensus.propose({ kind: 'replace', ...request });
     const reply: SubmitReply =
       result !== null && result.result === 'accepted'
         ? result
         : { result: 'unavailable', reason: 'not decided in time; submit again' };
     this.#log.info(
-      { event: 'replace', fleet, version, held, result: reply.result, ...this.#proofOf(reply) },
+      { event: 'replace', fleet, version, held, result: reply.result, ...this.#commitQuorum(reply) },
       'document',
     );
     return reply;
   }
 
   /** Which voters have synced what was accepted, and of which voters they are a majority. */
-  #proofOf(reply: SubmitReply): object {
+  #commitQuorum(reply: SubmitReply): object {
     const { state } = this.#consensus;
     return reply.result === 'accepted'
       ? { holders: votersWithEntry(state, reply.index), voters: state.members.voters }
@@ -168,43 +168,43 @@
   }
 
   /** Grants or renews a lease, or says who holds it. */
-  async askLease(ask: LeaseAsk): Promise<LeaseReply> {
-    const { group, holder } = ask;
+  async requestLease(request: LeaseRequest): Promise<LeaseReply> {
+    const { group, holder } = request;
     const held = this.#consensus.control.leases[group];
     // A leader that was frozen may have been replaced without knowing: it vouches for nothing.
     if (hasLostQuorum(this.#consensus.state, this.#now())) {
       return { result: 'failed' };
     }
-    const keeper = this.#keepLeases();
-    if (held?.holder === holder && held.token === ask.after.token) {
-      this.#keeper = recordRenewal(keeper, group, held.token, this.#now());
-      return this.#granted(ask, held.token);
+    const leaseRenewals = this.#renewalsOfTerm();
+    if (held?.holder === holder && held.token === request.after.token) {
+      this.#renewals = recordRenewal(leaseRenewals, group, held.token, this.#now());
+      return this.#grantedReply(request, held.token);
     }
     const isFree = held === undefined || hasHolderTerminated(held.holder, this.#options.recordOf);
-    if (!isFree && (ask.observe || !mayGrant(keeper, group, held, this.#now()))) {
-      const renewals = countRenewals(keeper, group, held.token);
+    if (!isFree && (request.observe || !mayGrant(leaseRenewals, group, held, this.#now()))) {
+      const renewals = countRenewals(leaseRenewals, group, held.token);
       return { result: 'held', lease: { ...held, renewals } };
     }
-    return this.#grant(ask, held);
+    return this.#grant(request, held);
   }
 
   /** What is remembered of renewals, from the own election on. */
-  #keepLeases(): LeaseRenewalsState {
+  #renewalsOfTerm(): LeaseRenewalsState {
     const { term } = this.#consensus.state;
-    if (term !== this.#keptInTerm) {
-      this.#keptInTerm = term;
-      this.#keeper = initLeaseRenewals(this.#now());
+    if (term !== this.#renewalsTerm) {
+      this.#renewalsTerm = term;
+      this.#renewals = initLeaseRenewals(this.#now());
     }
-    return this.#keeper;
+    return this.#renewals;
   }
 
-  #granted({ group, holder, durationMs }: LeaseAsk, token: number): LeaseReply {
-    const renewals = countRenewals(this.#keeper, group, token);
+  #grantedReply({ group, holder, durationMs }: LeaseRequest, token: number): LeaseReply {
+    const renewals = countRenewals(this.#renewals, group, token);
     return { result: 'granted', lease: { group, holder, token, durationMs }, renewals };
   }
 
-  async #grant(ask: LeaseAsk, held: LeaseState | undefined): Promise<LeaseReply> {
-    const { group, holder, durationMs } = ask;
+  async #grant(request: LeaseRequest, held: LeaseState | undefined): Promise<LeaseReply> {
+    const { group, holder, durationMs } = request;
     const result = await this.#consensus.propose({
       kind: 'lease',
       group,
@@ -214,14 +214,14 @@
     });
     if (result?.result === 'granted') {
       const { token } = result.lease;
-      this.#keeper = recordRenewal(this.#keepLeases(), group, token, this.#now());
+      this.#renewals = recordRenewal(this.#renewalsOfTerm(), group, token, this.#now());
       this.#log.info({ event: 'lease', group, holder, token }, 'lease granted');
-      return this.#granted(ask, token);
+      return this.#grantedReply(request, token);
     }
     return result?.result === 'held' ? result : { result: 'failed' };
   }
 
-  /** Takes a replica in as a learner; it is promoted by {@link tendMembers}. */
+  /** Takes a replica in as a learner; it is promoted by {@link updateVoters}. */
   async join(replica: string): Promise<boolean> {
     const { members } = this.#consensus.state;
     if (members.voters.includes(replica) || members.learners.includes(replica)) {
@@ -238,17 +238,17 @@
   }
 
   /** Makes learners voters, and drops voters that are gone; see {@link nextVoterChange}. */
-  async tendMembers(): Promise<void> {
+  async updateVoters(): Promise<void> {
     const { state } = this.#consensus;
     const { heardAt, lossesBorne } = this.#options;
     const view: VoterView = { now: this.#now(), heardAt, lossesBorne };
     const change = state.role === 'leader' ? nextVoterChange(state, view) : null;
-    if (change === null || this.#tending) {
+    if (change === null || this.#isChangingVoters) {
       return;
     }
-    this.#tending = true;
+    this.#isChangingVoters = true;
     const result = await this.#consensus.changeMembers(change.members);
-    this.#tending = false;
+    this.#isChangingVoters = false;
     const { replica, reason } = change;
     const { voters } = change.members;
     this.#log.info(
--- a/src/daemon/DaemonCoordinator.ts
+++ b/src/daemon/DaemonCoordinator.ts
@@ -44,10 +44,10 @@
     if (this.#state.self !== this.#self) {
       this.#state = initLease(this.#self, this.#options.group, this.#options.now());
     }
-    this.#input({ type: 'tick' });
+    this.#step({ type: 'tick' });
   }
 
-  #input(input: LeaseInput): void {
+  #step(input: LeaseInput): void {
     const { state, outputs } = stepLease(this.#state, input, this.#options.now());
     this.#state = state;
     outputs.forEach((output) => this.#perform(output));
@@ -56,17 +56,17 @@
   #perform(output: LeaseOutput): void {
     const { group, log } = this.#options;
     if (output.type === 'ask') {
-      this.#ask(output).catch(() => this.#input({ type: 'failed' }));
+      this.#requestLease(output).catch(() => this.#step({ type: 'failed' }));
       return;
     }
     const token = output.type === 'gained' ? output.token : null;
     log.info({ event: 'lease', group, change: output.type, token }, 'lease on the group');
   }
 
-  async #ask({ after, observe }: Extract<LeaseOutput, { type: 'ask' }>): Promise<void> {
+  async #requestLease({ after, observe }: Extract<LeaseOutput, { type: 'ask' }>): Promise<void> {
     const { group, hubLink } = this.#options;
-    const ask = { group, holder: this.#state.self, durationMs: LEASE_MS, after, observe };
-    const reply = (await hubLink.request('lease.ask', ask)) as LeaseReply;
+    const params = { group, holder: this.#state.self, durationMs: LEASE_MS, after, observe };
+    const reply = (await hubLink.request('lease.ask', params)) as LeaseReply;
     const inputs = {
       granted: (): LeaseInput =>
         reply.result === 'granted'
@@ -76,6 +76,6 @@
         reply.result === 'held' ? { type: 'held', lease: reply.lease } : { type: 'failed' },
       failed: (): LeaseInput => ({ type: 'failed' }),
     };
-    this.#input(inputs[reply.result]());
+    this.#step(inputs[reply.result]());
   }
 }
--- a/src/daemon/DaemonEndpoint.ts
+++ b/src/daemon/DaemonEndpoint.ts
@@ -5,15 +5,15 @@
 import { openAgent, probeUrl, serveHttp } from '../transport/index.js';
 import { DaemonCoordinator } from './DaemonCoordinator.js';
 import { DaemonGate } from './DaemonGate.js';
-import { DaemonHubLink, preferOwn } from './DaemonHubLink.js';
+import { DaemonHubLink, preferOwnZone } from './DaemonHubLink.js';
 import { createApp } from './DaemonApp.js';
-import { aborted, every, type Runtime } from './DaemonRuntime.js';
+import { waitForAbort, runEvery, type Runtime } from './DaemonRuntime.js';
 import type { EndpointSettings } from './DaemonSettings.js';
 
 const TICK_MS = 500;
 
 /** How long a connection to the engine may take to be made, ms. */
-const CONNECT_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 1_000;
 
 /** A leaving process waits this long with nothing in progress, so that late attempts are refused
  * in so many words instead of meeting a closed port. In ms. */
@@ -45,11 +45,11 @@
   const { log, now } = runtime;
   const container = createContainer<Cradle>({ injectionMode: InjectionMode.PROXY });
   container.register({
-    agent: asValue(openAgent(CONNECT_MS)),
+    agent: asValue(openAgent(CONNECT_TIMEOUT_MS)),
     hubLink: asFunction(
       () =>
         new DaemonHubLink({
-          targets: () => preferOwn(cfg.control, cfg['zone-control']),
+          targets: () => preferOwnZone(cfg.control, cfg['zone-control']),
           record: {
             id: cfg.id,
             role: 'endpoint',
@@ -65,8 +65,8 @@
           random: runtime.random,
           onConfig: (config) => {
             const { gate, hubLink } = container.cradle;
-            gate.renew(hubLink.record.incarnation);
-            gate.input({ type: 'ready' });
+            gate.setIncarnation(hubLink.record.incarnation);
+            gate.step({ type: 'ready' });
             log.info({ event: 'config', index: config.index }, 'configuration in force');
           },
           onDirectory: () => undefined,
@@ -109,7 +109,7 @@
     const waitsFor = [...gate.state.running].map(([key, { customer }]) => `${key} (${customer})`);
     runtime.log.info({ event: 'draining', waitsFor }, 'waiting for attempts in progress');
   }, 1_000);
-  gate.input({ type: 'leave' });
+  gate.step({ type: 'leave' });
   await drained;
   clearInterval(report);
   await new Promise((resolve) => {
@@ -136,17 +136,17 @@
   }));
   gate.addApi(app);
   await serveHttp(app, cfg.http, stop.signal);
-  every(TICK_MS, stop.signal, () => {
-    gate.input({ type: 'tick' });
-    if (hubLink.isUp) {
+  runEvery(TICK_MS, stop.signal, () => {
+    gate.step({ type: 'tick' });
+    if (hubLink.isAttached) {
       coordinator?.tick();
     }
   });
   runtime.log.info({ event: 'listening', http: cfg.http }, 'endpoint is up');
-  await aborted(signal);
-  const limit = new Promise<void>((resolve) => {
+  await waitForAbort(signal);
+  const drainTimeout = new Promise<void>((resolve) => {
     setTimeout(resolve, cfg['drain-ms']).unref();
   });
-  await leave(cradle, runtime, Promise.race([drained, limit]));
+  await leave(cradle, runtime, Promise.race([drained, drainTimeout]));
   stop.abort();
 }
--- a/src/daemon/DaemonEndpointEnds.ts
+++ b/src/daemon/DaemonEndpointCrashes.ts
@@ -15,26 +15,26 @@
 import type { Runtime } from './DaemonRuntime.js';
 
 /** What the task needs. */
-export interface EndpointEndsOptions {
+export interface EndpointCrashesOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   readonly probe: (address: Address) => Probe;
-  readonly ends: Pick<Counter, 'inc'>;
+  readonly crashes: Pick<Counter, 'inc'>;
   /** Takes the requests that were in progress at a life that has ended. */
   readonly onSuspects: (incarnationKey: IncarnationKey, suspects: readonly LostRequest[]) => void;
 }
 
 /** The task. */
-export class DaemonEndpointEnds {
-  readonly #options: EndpointEndsOptions;
+export class DaemonEndpointCrashes {
+  readonly #options: EndpointCrashesOptions;
 
   #state: EndpointCrashesState = NO_ENDPOINT_CRASHES;
 
   /** Endpoints at which requests were lost, by life, while nobody knows whether it has ended. */
-  readonly #records = new Map<IncarnationKey, MemberRecord>();
+  readonly #endpoints = new Map<IncarnationKey, MemberRecord>();
 
   readonly #probes = new Map<IncarnationKey, Promise<void>>();
 
-  constructor(options: EndpointEndsOptions) {
+  constructor(options: EndpointCrashesOptions) {
     this.#options = options;
   }
 
@@ -42,39 +42,39 @@
    * Takes a request whose connection to an endpoint has ended before its answer was whole. Resolves as soon as a
    * probe has told what it can, so that whoever sends the request again knows what it did.
    */
-  async onLost(endpoint: MemberRecord, lost: LostRequest): Promise<void> {
+  async onConnectionLost(endpoint: MemberRecord, lost: LostRequest): Promise<void> {
     const incarnationKey = incarnationKeyOf(endpoint);
-    this.#records.set(incarnationKey, endpoint);
-    this.#input({ type: 'lost', incarnationKey, lost });
+    this.#endpoints.set(incarnationKey, endpoint);
+    this.#step({ type: 'lost', incarnationKey, lost });
     await this.#probes.get(incarnationKey);
   }
 
   /** Takes a request and the life of an endpoint that is known to have ended under it. */
-  onEnded(incarnationKey: IncarnationKey, lost: LostRequest): void {
-    this.#input({ type: 'ended', incarnationKey });
-    this.#input({ type: 'lost', incarnationKey, lost });
+  onCrashed(incarnationKey: IncarnationKey, lost: LostRequest): void {
+    this.#step({ type: 'ended', incarnationKey });
+    this.#step({ type: 'lost', incarnationKey, lost });
   }
 
   /** Takes news of members; `isNew` tells whether an id was unknown before them. */
   onMembers(records: readonly MemberRecord[], isNew: (id: string) => boolean): void {
-    [...this.#records].forEach(([incarnationKey, known]) => {
+    [...this.#endpoints].forEach(([incarnationKey, known]) => {
       const proof = records.find(
-        (news) => (news.id === known.id || isNew(news.id)) && provesCrash(known, news),
+        (update) => (update.id === known.id || isNew(update.id)) && provesCrash(known, update),
       );
       if (proof !== undefined) {
-        this.#input({ type: 'ended', incarnationKey });
+        this.#step({ type: 'ended', incarnationKey });
       }
     });
   }
 
   tick(): void {
-    this.#input({ type: 'tick' });
+    this.#step({ type: 'tick' });
   }
 
-  #input(input: EndpointCrashesInput): void {
+  #step(input: EndpointCrashesInput): void {
     const { state, outputs } = stepEndpointCrashes(this.#state, input, this.#options.runtime.now());
     if (state.crashed.size > this.#state.crashed.size) {
-      this.#options.ends.inc();
+      this.#options.crashes.inc();
     }
     this.#state = state;
     outputs.forEach((output) => {
@@ -94,15 +94,15 @@
       );
       this.#options.onSuspects(incarnationKey, suspects);
     });
-    [...this.#records.keys()]
+    [...this.#endpoints.keys()]
       .filter((incarnationKey) => !state.pending.has(incarnationKey))
-      .forEach((incarnationKey) => this.#records.delete(incarnationKey));
+      .forEach((incarnationKey) => this.#endpoints.delete(incarnationKey));
   }
 
   #probe(incarnationKey: IncarnationKey): void {
-    const address = parseAddress(this.#records.get(incarnationKey)?.address ?? '');
+    const address = parseAddress(this.#endpoints.get(incarnationKey)?.address ?? '');
     if (address === undefined) {
-      this.#input({ type: 'probed', incarnationKey, result: 'unknown' });
+      this.#step({ type: 'probed', incarnationKey, result: 'unknown' });
       return;
     }
     const { result, settled } = this.#options.probe(address);
@@ -114,7 +114,7 @@
           'endpoint probed after a connection to it ended',
         );
         this.#probes.delete(incarnationKey);
-        this.#input({ type: 'probed', incarnationKey, result: found });
+        this.#step({ type: 'probed', incarnationKey, result: found });
       })
       .catch((err: unknown) => this.#options.runtime.log.error({ err }, 'probe failed'));
   }
--- a/src/daemon/DaemonEntry.ts
+++ b/src/daemon/DaemonEntry.ts
@@ -4,9 +4,9 @@
 import { serveHttp } from '../transport/index.js';
 import { addCallerApi } from './DaemonEntryApi.js';
 import { DaemonEntryState } from './DaemonEntryState.js';
-import { DaemonHubLink, preferOwn } from './DaemonHubLink.js';
+import { DaemonHubLink, preferOwnZone } from './DaemonHubLink.js';
 import { createApp } from './DaemonApp.js';
-import { every, type Runtime } from './DaemonRuntime.js';
+import { runEvery, type Runtime } from './DaemonRuntime.js';
 import type { EntrySettings } from './DaemonSettings.js';
 
 const TICK_MS = 250;
@@ -26,8 +26,8 @@
   container.register({
     state: asFunction(
       () =>
-        new DaemonEntryState(cfg.id, cfg.zone, runtime, (news) =>
-          container.cradle.hubLink.notify('quarantine', news),
+        new DaemonEntryState(cfg.id, cfg.zone, runtime, (update) =>
+          container.cradle.hubLink.notify('quarantine', update),
         ),
     ).singleton(),
     agent: asValue(
@@ -43,7 +43,7 @@
     hubLink: asFunction(
       ({ state }: Cradle) =>
         new DaemonHubLink({
-          targets: () => preferOwn(cfg.control, cfg['zone-control']),
+          targets: () => preferOwnZone(cfg.control, cfg['zone-control']),
           record: {
             id: cfg.id,
             role: 'entry',
@@ -58,8 +58,8 @@
           random: runtime.random,
           onConfig: (config) => state.onConfig(config),
           onDirectory: (delta) => state.onDirectory(delta),
-          onQuarantine: (news) => state.screening.onNews(news),
-          onUp: () => state.screening.onUp(),
+          onQuarantine: (quarantineUpdate) => state.screening.onUpdate(quarantineUpdate),
+          onAttached: () => state.screening.onAttached(),
         }),
     ).singleton(),
   });
@@ -80,10 +80,10 @@
   });
   addCallerApi(app, { id: cfg.id, runtime, state, agent, hubLink });
   await serveHttp(app, cfg.http, stop.signal);
-  every(TICK_MS, stop.signal, () => state.tick());
+  runEvery(TICK_MS, stop.signal, () => state.tick());
   runtime.log.info({ event: 'listening', http: cfg.http }, 'entry is up');
   signal.addEventListener('abort', () => hubLink.announce({ status: 'leaving' }), { once: true });
-  await state.drained(signal, cfg['drain-ms']);
+  await state.waitUntilDrained(signal, cfg['drain-ms']);
   stop.abort();
   await agent.close();
 }
--- a/src/daemon/DaemonEntryApi.ts
+++ b/src/daemon/DaemonEntryApi.ts
@@ -11,7 +11,7 @@
 import { DaemonEntryCall, type CallSpec } from './DaemonEntryCall.js';
 import type { DaemonEntryState } from './DaemonEntryState.js';
 import type { DaemonHubLink } from './DaemonHubLink.js';
-import { answerError } from './DaemonApp.js';
+import { sendError } from './DaemonApp.js';
 import type { Runtime } from './DaemonRuntime.js';
 
 /** Characters of a prompt that decide which endpoint may hold its prefix. */
@@ -101,7 +101,7 @@
 }
 
 /** Answers calls by `Idempotency-Key` honestly until claims by quorum are there. */
-function refuseKey(req: IncomingMessage): void {
+function refuseIdempotencyKey(req: IncomingMessage): void {
   if (headerOf(req, CALLER_HEADERS.key) !== undefined) {
     throw new RequestError('key_unsupported', `${CALLER_HEADERS.key} is not supported yet`);
   }
@@ -113,7 +113,7 @@
   if (!state.isReady) {
     throw new RequestError('not_ready', state.readiness);
   }
-  refuseKey(req);
+  refuseIdempotencyKey(req);
   const customer = state.customer(headerOf(req, CALLER_HEADERS.customer));
   const body = await readBody(req);
   const isCompletion = ctx.method === 'POST' && COMPLETION_PATHS.has(ctx.path);
@@ -151,7 +151,7 @@
       if (!(err instanceof RequestError)) {
         runtime.log.error({ err, request }, 'request failed');
       }
-      answerError(ctx, err, request);
+      sendError(ctx, err, request);
     }
   });
 }
--- a/src/daemon/DaemonEntryCall.ts
+++ b/src/daemon/DaemonEntryCall.ts
@@ -23,13 +23,13 @@
 } from '../protocol/index.js';
 import { FRAMES_TYPE, readFrames } from '../transport/index.js';
 import type { CallerApiOptions } from './DaemonEntryApi.js';
-import { answerError } from './DaemonApp.js';
+import { sendError } from './DaemonApp.js';
 
 /** How long a gate may take to acknowledge a revocation before the outcome is unknown. In ms. */
-const REVOKE_MS = 1_000;
+const REVOKE_TIMEOUT_MS = 1_000;
 
 /** Statuses of answers that have no body (RFC 9112, section 6.3). */
-const BARE_STATUSES: ReadonlySet<number> = new Set([204, 304]);
+const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** A request as read from its caller. */
 export interface CallSpec {
@@ -83,31 +83,31 @@
   #outcome = 'whole';
 
   /** Resolves `run`. */
-  #finish: (() => void) | null = null;
+  #resolveRun: (() => void) | null = null;
 
   readonly #performers: Performers = {
     route: ({ exclude }) => this.#route(exclude),
     send: ({ endpoint, attempt }) => {
-      if (this.#options.state.isHeld(this.#identity, endpoint)) {
-        this.#options.state.screening.logHeld(this.#identity, this.#request);
-        this.#input({ type: 'held', attempt });
+      if (this.#options.state.isQuarantined(this.#identity, endpoint)) {
+        this.#options.state.screening.logQuarantined(this.#identity, this.#request);
+        this.#step({ type: 'held', attempt });
         return;
       }
       this.#send(endpoint, attempt).catch((err: unknown) => {
         this.#options.runtime.log.error({ err, request: this.#request }, 'attempt failed');
-        this.#input({ type: 'lost', attempt });
+        this.#step({ type: 'lost', attempt });
       });
     },
     revoke: ({ endpoint, attempt }) => {
-      this.#revoke(endpoint, attempt).catch(() => this.#input({ type: 'revokeFailed', attempt }));
+      this.#revoke(endpoint, attempt).catch(() => this.#step({ type: 'revokeFailed', attempt }));
     },
     deliver: () => this.#deliver(),
     reset: () => {
       this.#parts = [];
     },
     cancel: ({ attempt }) => this.#aborts.get(attempt)?.abort(),
-    finish: () => this.#answerWhole(),
-    fail: ({ error }) => this.#answerError(error),
+    finish: () => this.#finishAnswer(),
+    fail: ({ error }) => this.#finishWithError(error),
   };
 
   constructor(options: CallerApiOptions, request: string, spec: CallSpec, ctx: Context) {
@@ -127,13 +127,13 @@
     const { state, runtime } = this.#options;
     const { customer, deadline } = this.#spec;
     state.begin(this.#request, customer.name);
-    const timer = setTimeout(() => this.#input({ type: 'deadline' }), deadline - runtime.now());
-    const onClose = () => this.#input({ type: 'callerGone' });
+    const timer = setTimeout(() => this.#step({ type: 'deadline' }), deadline - runtime.now());
+    const onClose = () => this.#step({ type: 'callerGone' });
     this.#res.once('close', onClose);
     try {
       await new Promise<void>((resolve) => {
-        this.#finish = resolve;
-        this.#take(startAttempts(this.#request, this.#spec.repeatable, deadline));
+        this.#resolveRun = resolve;
+        this.#applyStep(startAttempts(this.#request, this.#spec.repeatable, deadline));
       });
     } finally {
       clearTimeout(timer);
@@ -143,10 +143,10 @@
     }
   }
 
-  #input(input: AttemptInput): void {
+  #step(input: AttemptInput): void {
     const { state, runtime } = this.#options;
     const wasOpen = this.#state.phase !== 'finished';
-    this.#take(
+    this.#applyStep(
       stepAttempts(this.#state, input, {
         now: runtime.now(),
         takeRetry: () => state.takeRetry(this.#spec.service),
@@ -154,11 +154,11 @@
     );
     if (input.type === 'callerGone' && wasOpen) {
       this.#outcome = 'caller_gone';
-      this.#finish?.();
+      this.#resolveRun?.();
     }
   }
 
-  #take({ state, outputs }: AttemptStep): void {
+  #applyStep({ state, outputs }: AttemptStep): void {
     this.#state = state;
     outputs.forEach((output) => this.#performers[output.type](output as never));
   }
@@ -170,7 +170,7 @@
       this.#request,
       this.#state.attempt,
     );
-    this.#input({ type: 'routed', endpoint });
+    this.#step({ type: 'routed', endpoint });
   }
 
   #hopHeaders(endpoint: MemberRecord, attempt: number): Record<string, string> {
@@ -212,9 +212,9 @@
       const { code } = err as { code?: string };
       const unsent = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
       if (!unsent && !abort.signal.aborted) {
-        await this.#onConnectionEnded(endpoint);
+        await this.#onConnectionLost(endpoint);
       }
-      this.#input(unsent ? { type: 'unsent', attempt } : { type: 'lost', attempt });
+      this.#step(unsent ? { type: 'unsent', attempt } : { type: 'lost', attempt });
     } finally {
       this.#aborts.delete(attempt);
       state.updateRouting({
@@ -231,10 +231,10 @@
   ): Promise<'refused' | 'failed'> {
     const { error } = (await response.body.json()) as ErrorBody;
     if (error.outcome === 'not_run' && isErrorCode(error.code)) {
-      this.#input({ type: 'refused', attempt, code: error.code });
+      this.#step({ type: 'refused', attempt, code: error.code });
       return 'refused';
     }
-    this.#input({ type: 'lost', attempt });
+    this.#step({ type: 'lost', attempt });
     return 'failed';
   }
 
@@ -249,9 +249,9 @@
       for await (const frame of frames) {
         this.#frame = frame;
         if (frame.kind === 'end') {
-          this.#onEndedLife(endpoint, frame.endedLife);
+          this.#onEngineCrash(endpoint, frame.endedLife);
         }
-        this.#input({ type: frame.kind, frame } as AttemptInput);
+        this.#step({ type: frame.kind, frame } as AttemptInput);
         if (frame.kind === 'end') {
           this.#options.state.updateRouting({
             type: 'report',
@@ -270,22 +270,22 @@
     } catch {
       // The body broke off; what that means is decided below.
       if (this.#aborts.get(attempt)?.signal.aborted !== true) {
-        await this.#onConnectionEnded(endpoint);
+        await this.#onConnectionLost(endpoint);
       }
     }
-    this.#input({ type: 'cut', attempt });
+    this.#step({ type: 'cut', attempt });
     return 'failed';
   }
 
-  #onEndedLife(endpoint: MemberRecord, life: number | null): void {
-    if (life !== null) {
-      this.#options.state.screening.onEnded(endpoint, life, this.#identity, this.#request);
+  #onEngineCrash(endpoint: MemberRecord, engineOrdinal: number | null): void {
+    if (engineOrdinal !== null) {
+      this.#options.state.screening.onEngineCrash(endpoint, engineOrdinal, this.#identity, this.#request);
     }
   }
 
   /** The gate's connection has ended: whether the gate has ended with its engine is found out before a new try. */
-  async #onConnectionEnded(endpoint: MemberRecord): Promise<void> {
-    await this.#options.state.screening.onLost(endpoint, this.#identity, this.#request);
+  async #onConnectionLost(endpoint: MemberRecord): Promise<void> {
+    await this.#options.state.screening.onConnectionLost(endpoint, this.#identity, this.#request);
   }
 
   async #revoke(endpoint: MemberRecord, attempt: number): Promise<void> {
@@ -294,10 +294,10 @@
       path: '/v1/attempts/revoke',
       method: 'POST',
       headers: this.#hopHeaders(endpoint, attempt),
-      signal: AbortSignal.timeout(REVOKE_MS),
+      signal: AbortSignal.timeout(REVOKE_TIMEOUT_MS),
     });
     const { state } = (await response.body.json()) as RevokeReply;
-    this.#input({ type: 'revokeReply', attempt, state });
+    this.#step({ type: 'revokeReply', attempt, state });
   }
 
   /** Hands over the frame at hand: streams go on at once, other answers wait to be whole. */
@@ -323,37 +323,37 @@
     }
   }
 
-  #answerWhole(): void {
+  #finishAnswer(): void {
     if (!this.#res.headersSent) {
-      this.#writeWhole(Buffer.concat(this.#parts));
+      this.#writeBufferedAnswer(Buffer.concat(this.#parts));
     }
     this.#res.end();
-    this.#options.state.screening.onWhole(this.#identity);
+    this.#options.state.screening.onAnswered(this.#identity);
     this.#log('whole');
-    this.#finish?.();
+    this.#resolveRun?.();
   }
 
   /** Written past koa, which completes what an engine left out, and spells types its own way. */
-  #writeWhole(body: Buffer): void {
-    const isBare = this.#ctx.method === 'HEAD' || BARE_STATUSES.has(this.#status);
+  #writeBufferedAnswer(body: Buffer): void {
+    const isBodyless = this.#ctx.method === 'HEAD' || BODYLESS_STATUSES.has(this.#status);
     this.#ctx.respond = false;
     this.#res.writeHead(this.#status, {
       ...(this.#contentType === '' ? {} : { 'content-type': this.#contentType }),
-      ...(isBare ? {} : { 'content-length': body.length }),
+      ...(isBodyless ? {} : { 'content-length': body.length }),
     });
     this.#res.write(body);
   }
 
   /** A stream that has begun ends with an error event and without its final event. */
-  #answerError(error: RequestError): void {
+  #finishWithError(error: RequestError): void {
     this.#outcome = error.outcome;
     if (this.#res.headersSent) {
       this.#res.end(`event: error\ndata: ${JSON.stringify(error.toBody(this.#request))}\n\n`);
     } else {
-      answerError(this.#ctx, error, this.#request);
+      sendError(this.#ctx, error, this.#request);
     }
     this.#log(error.outcome, error.code);
-    this.#finish?.();
+    this.#resolveRun?.();
   }
 
   #log(outcome: string, code?: string): void {
--- a/src/daemon/DaemonEntryMetrics.ts
+++ b/src/daemon/DaemonEntryMetrics.ts
@@ -12,7 +12,7 @@
 
   readonly #firstByte: Histogram;
 
-  readonly endpointEnds: Counter;
+  readonly endpointCrashes: Counter;
 
   readonly #registers: readonly Registry[];
 
@@ -38,7 +38,7 @@
       buckets: FIRST_BYTE_BUCKETS,
       registers,
     });
-    this.endpointEnds = new Counter({
+    this.endpointCrashes = new Counter({
       name: 'laburnumgauge_endpoint_ends_total',
       help: 'Ends of endpoints under requests of this process',
       registers,
--- a/src/daemon/DaemonEntryState.ts
+++ b/src/daemon/DaemonEntryState.ts
@@ -29,12 +29,12 @@
 } from '../protocol/index.js';
 import { EMPTY_CONFIG, viewConfig, type ConfigState, type ConfigView } from '../state/index.js';
 import { EntryMetrics } from './DaemonEntryMetrics.js';
-import type { SendNews } from './DaemonQuarantine.js';
+import type { SendQuarantineUpdate } from './DaemonQuarantine.js';
 import { DaemonScreening } from './DaemonScreening.js';
-import { aborted, type Runtime } from './DaemonRuntime.js';
+import { waitForAbort, type Runtime } from './DaemonRuntime.js';
 
 /** How often a process that drains says what it waits for. In ms. */
-const DRAIN_REPORT_MS = 1_000;
+const DRAIN_LOG_INTERVAL_MS = 1_000;
 
 /** State of an entry process; each part is replaced whole. */
 export class DaemonEntryState {
@@ -61,13 +61,13 @@
   readonly screening: DaemonScreening;
 
   /** `sendNews` sends news of suspected requests to the control process. */
-  constructor(id: string, zone: string, runtime: Runtime, sendNews: SendNews) {
+  constructor(id: string, zone: string, runtime: Runtime, sendQuarantineUpdate: SendQuarantineUpdate) {
     this.#id = id;
     this.#zone = zone;
     this.#runtime = runtime;
     this.#routing = initRouting(zone);
     this.#metrics = new EntryMetrics(runtime.registry, () => this.#inProgress.size);
-    this.screening = new DaemonScreening({ runtime, metrics: this.#metrics, send: sendNews });
+    this.screening = new DaemonScreening({ runtime, metrics: this.#metrics, send: sendQuarantineUpdate });
   }
 
   get config(): ConfigView {
@@ -92,9 +92,9 @@
   }
 
   /** Whether a request must be sent to no endpoint like this one. */
-  isHeld(identity: RequestIdentity, { offer }: MemberRecord): boolean {
-    const mostEnds = offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
-    return this.screening.isHeld(identity, mostEnds);
+  isQuarantined(identity: RequestIdentity, { offer }: MemberRecord): boolean {
+    const quarantineCrashes = offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
+    return this.screening.isQuarantined(identity, quarantineCrashes);
   }
 
   onDirectory(delta: DirectoryDelta): void {
@@ -175,10 +175,10 @@
   }
 
   /** Resolves once the signal has come and nothing is in progress, or after a time limit. */
-  async drained(signal: AbortSignal, limitMs: number): Promise<void> {
-    await aborted(signal);
-    const until = this.#runtime.now() + limitMs;
-    const wait = async (): Promise<void> => {
+  async waitUntilDrained(signal: AbortSignal, timeoutMs: number): Promise<void> {
+    await waitForAbort(signal);
+    const until = this.#runtime.now() + timeoutMs;
+    const waitForRequests = async (): Promise<void> => {
       if (this.#inProgress.size === 0 || this.#runtime.now() > until) {
         return;
       }
@@ -187,10 +187,10 @@
         { event: 'draining', inProgress: this.#inProgress.size, waitsFor },
         'waiting for requests in progress',
       );
-      await delay(DRAIN_REPORT_MS);
-      await wait();
+      await delay(DRAIN_LOG_INTERVAL_MS);
+      await waitForRequests();
     };
-    await wait();
+    await waitForRequests();
   }
 
   #setView(view: MembershipView): void {
@@ -198,8 +198,8 @@
     const records = servingMembers(view);
     const entries = records.filter(({ role }) => role === 'entry');
     this.#entryHosts = entries.length;
-    const own = entries.filter(({ zone }) => zone === this.#zone).map(({ id }) => id);
-    const self = { id: this.#id, zone: this.#zone, entries: own };
+    const ownZoneEntries = entries.filter(({ zone }) => zone === this.#zone).map(({ id }) => id);
+    const self = { id: this.#id, zone: this.#zone, entries: ownZoneEntries };
     this.updateRouting({ type: 'members', records: filterToSubsets(records, self) });
   }
 }
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -21,8 +21,8 @@
   type RevokeReply,
 } from '../protocol/index.js';
 import { FRAMES_TYPE, FrameWriter, headerOf, readBody, type Probe } from '../transport/index.js';
-import { relayEvents, relayWhole } from './DaemonGateRelay.js';
-import { answerError } from './DaemonApp.js';
+import { relayEvents, relayBody } from './DaemonGateRelay.js';
+import { sendError } from './DaemonApp.js';
 import type { Runtime } from './DaemonRuntime.js';
 
 /** What the task needs. */
@@ -76,7 +76,7 @@
 
   #state: GateState;
 
-  #lives: EngineIncarnation = FIRST_INCARNATION;
+  #engineIncarnation: EngineIncarnation = FIRST_INCARNATION;
 
   constructor(options: GateOptions) {
     this.#options = options;
@@ -94,7 +94,7 @@
     return { running: Math.min(size, slots), queued: Math.max(0, size - slots), slots };
   }
 
-  input(input: GateInput): GateOutput | undefined {
+  step(input: GateInput): GateOutput | undefined {
     const { state, outputs } = stepGate(this.#state, input, this.#options.runtime.now());
     this.#state = state;
     outputs.filter(({ type }) => type === 'drained').forEach(() => this.#options.onDrained());
@@ -102,7 +102,7 @@
   }
 
   /** A hub gave this process a new incarnation; it has run nothing under the old one. */
-  renew(incarnation: number): void {
+  setIncarnation(incarnation: number): void {
     this.#state = { ...this.#state, incarnation };
   }
 
@@ -121,14 +121,14 @@
       try {
         await route(ctx);
       } catch (err) {
-        answerError(ctx, err);
+        sendError(ctx, err);
       }
     });
   }
 
   #onRevoke(ctx: Context): void {
     const { key, target } = readHop(ctx);
-    const output = this.input({ type: 'revoke', key, target });
+    const output = this.step({ type: 'revoke', key, target });
     const state = output?.type === 'revoked' ? output.state : 'started';
     const reply: RevokeReply = { state, incarnation: this.#state.incarnation };
     ctx.body = reply;
@@ -138,7 +138,7 @@
     const hop = readHop(ctx);
     const body = await readBody(ctx.req);
     const { key, target, customer } = hop;
-    const output = this.input({ type: 'attempt', key, target, customer });
+    const output = this.step({ type: 'attempt', key, target, customer });
     if (output?.type === 'refuse') {
       throw new RequestError(output.code, 'the gate did not start the attempt');
     }
@@ -154,7 +154,7 @@
       await this.#run(hop, body, ctx, writer, abort.signal);
     } finally {
       clearTimeout(timer);
-      this.input({ type: 'ended', key });
+      this.step({ type: 'ended', key });
       res.end();
     }
   }
@@ -172,10 +172,10 @@
       attempt: hop.attempt,
       incarnation: this.#state.incarnation,
     };
-    const begunAt = runtime.now();
+    const startedAt = runtime.now();
     let seq = 0;
     let reason = 'done';
-    let isTaken = true;
+    let isAccepted = true;
     try {
       const response = await agent.request({
         origin: engine,
@@ -189,7 +189,7 @@
         body: body.length === 0 ? null : body,
         signal,
       });
-      this.#lives = engineAnswered(this.#lives, begunAt);
+      this.#engineIncarnation = engineAnswered(this.#engineIncarnation, startedAt);
       const contentType = String(response.headers['content-type'] ?? '');
       const streamed = contentType.startsWith('text/event-stream');
       const head = { kind: 'head', ...identity, seq: 0, status: response.statusCode } as const;
@@ -198,15 +198,15 @@
         writer.write({ kind: 'data', ...identity, seq: seq + 1, events, bytes });
         seq += events;
       };
-      const relay = streamed ? relayEvents : relayWhole;
+      const relay = streamed ? relayEvents : relayBody;
       reason = await relay(response.body, ctx.res, send);
     } catch (err) {
       reason = (err as Error).message;
-      isTaken = (err as NodeJS.ErrnoException).code !== 'ECONNREFUSED';
+      isAccepted = (err as NodeJS.ErrnoException).code !== 'ECONNREFUSED';
     }
     const whole = reason === 'done';
-    const isLost = !whole && isTaken && !signal.aborted;
-    const endedLife = isLost ? await this.#findEnd(begunAt) : null;
+    const isLost = !whole && isAccepted && !signal.aborted;
+    const endedLife = isLost ? await this.#detectEngineCrash(startedAt) : null;
     writer.write({ kind: 'end', ...identity, seq, whole, reason, endedLife, load: this.load });
     runtime.log.info(
       { event: 'attempt', ...identity, whole, reason, endedLife, events: seq },
@@ -215,11 +215,11 @@
   }
 
   /** The life of the engine that has ended under an attempt that it had taken; null where none is known to have. */
-  async #findEnd(begunAt: number): Promise<number | null> {
+  async #detectEngineCrash(startedAt: number): Promise<number | null> {
     if ((await this.#options.probe().result) !== 'refused') {
       return null;
     }
-    this.#lives = engineCrashed(this.#lives, begunAt, this.#options.runtime.now());
-    return this.#lives.ordinal;
+    this.#engineIncarnation = engineCrashed(this.#engineIncarnation, startedAt, this.#options.runtime.now());
+    return this.#engineIncarnation.ordinal;
   }
 }
--- a/src/daemon/DaemonGateRelay.ts
+++ b/src/daemon/DaemonGateRelay.ts
@@ -9,7 +9,7 @@
 /** Why a relayed answer ended; `done` if it is whole. */
 export type RelayEnd = 'done' | 'the engine broke off its stream';
 
-async function drain(res: ServerResponse): Promise<void> {
+async function waitForDrain(res: ServerResponse): Promise<void> {
   await new Promise<void>((resolve) => {
     res.once('drain', resolve);
     res.once('close', resolve);
@@ -28,26 +28,26 @@
   res: ServerResponse,
   send: SendPart,
 ): Promise<RelayEnd> {
-  let rest: Buffer = Buffer.alloc(0);
+  let remainder: Buffer = Buffer.alloc(0);
   let done = false;
   // eslint-disable-next-line no-restricted-syntax -- a stream has no other way to be read in step
   for await (const chunk of body) {
-    const data = rest.length === 0 ? (chunk as Buffer) : Buffer.concat([rest, chunk as Buffer]);
+    const data = remainder.length === 0 ? (chunk as Buffer) : Buffer.concat([remainder, chunk as Buffer]);
     const { end, events } = findEvents(data);
     if (events > 0) {
       done = data.subarray(0, end).subarray(-DONE_EVENT.length).equals(Buffer.from(DONE_EVENT));
       send(data.subarray(0, end), events);
     }
-    rest = data.subarray(end);
+    remainder = data.subarray(end);
     if (res.writableNeedDrain) {
-      await drain(res);
+      await waitForDrain(res);
     }
   }
-  return done && rest.length === 0 ? 'done' : 'the engine broke off its stream';
+  return done && remainder.length === 0 ? 'done' : 'the engine broke off its stream';
 }
 
 /** Relays an answer that is not a stream; each part counts as one event. */
-export async function relayWhole(
+export async function relayBody(
   body: Readable,
   res: ServerResponse,
   send: SendPart,
@@ -56,7 +56,7 @@
   for await (const chunk of body) {
     send(chunk as Buffer, 1);
     if (res.writableNeedDrain) {
-      await drain(res);
+      await waitForDrain(res);
     }
   }
   return 'done';
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -40,7 +40,7 @@
 } from '../transport/index.js';
 
 /** A link on which nothing was heard for this long renews no lease. In ms. */
-const HEARD_MS = 1_500;
+const LINK_STALE_MS = 1_500;
 
 /** What the task needs. */
 export interface HubOptions {
@@ -48,20 +48,20 @@
   readonly log: Logger;
   readonly now: () => number;
   /** Sends news of members to the other control processes. */
-  readonly publish: (records: readonly MemberRecord[]) => void;
+  readonly publishMembers: (records: readonly MemberRecord[]) => void;
   /** Control processes that a process which attaches is told of. */
   readonly controls: () => readonly ControlAddress[];
   /** Sends a group's load to the other control processes. */
   readonly publishLoad: (load: GroupLoad) => void;
   /** Sends news of what all entry and control processes hold to the other control processes. */
-  readonly publishNews: (topic: SharedTopic, news: SharedNews) => void;
+  readonly publishUpdate: (topic: SharedTopic, update: SharedUpdate) => void;
 }
 
 /** What all entry and control processes hold alike, by the name of its messages. */
 export type SharedTopic = 'quarantine' | 'limits';
 
 /** News of any of it. */
-export type SharedNews = QuarantineNews | LimitNews;
+export type SharedUpdate = QuarantineNews | LimitNews;
 
 /** What a control process tells of one process attached to it. */
 export interface AttachedStatus {
@@ -70,14 +70,14 @@
 }
 
 /** A process attached, with the sender of what is bulky or must stay in order. */
-interface Attached {
+interface AttachedProcess {
   readonly link: TransportLink;
   readonly sender: PartsSender;
   readonly record: MemberRecord;
 }
 
 /** Sends at a pace that stays inside the receiver's budget. */
-function pacedSender(link: TransportLink, now: () => number): PartsSender {
+function rateLimitedSender(link: TransportLink, now: () => number): PartsSender {
   let pacing = initTokenBucket(now());
   return new PartsSender(link, (bytes) => {
     const { state, waitMs } = takeBytes(pacing, bytes, now());
@@ -90,9 +90,9 @@
 export class DaemonHub {
   readonly #options: HubOptions;
 
-  readonly #links = new Map<string, Attached>();
+  readonly #processes = new Map<string, AttachedProcess>();
 
-  readonly #applied = new Map<string, number>();
+  readonly #appliedIndexes = new Map<string, number>();
 
   /** Requests that endpoints have ended under, as the entry processes tell. */
   readonly quarantine: DaemonQuarantine;
@@ -112,11 +112,11 @@
     this.#rollout = initRollout(options.now());
     this.quarantine = new DaemonQuarantine({
       runtime: options,
-      publish: (news, from) => this.#publishNews('quarantine', news, from),
+      publish: (update, from) => this.#publishSharedUpdate('quarantine', update, from),
     });
     this.#limits = new DaemonLimits({
       runtime: options,
-      publish: (news, from) => this.#publishNews('limits', news, from),
+      publish: (update, from) => this.#publishSharedUpdate('limits', update, from),
     });
   }
 
@@ -135,7 +135,7 @@
 
   /** What the processes attached here have in force. */
   get attachedStatus(): readonly AttachedStatus[] {
-    return [...this.#applied].map(([id, appliedIndex]) => ({ id, appliedIndex }));
+    return [...this.#appliedIndexes].map(([id, appliedIndex]) => ({ id, appliedIndex }));
   }
 
   /** Methods for entry and endpoint processes. */
@@ -143,34 +143,34 @@
     return {
       'member.hello': (params, link) => this.#onHello(params as HelloMessage, link),
       'member.announce': (params) => {
-        this.#member({ type: 'announce', record: params as MemberRecord });
+        this.#stepMembership({ type: 'announce', record: params as MemberRecord });
         return true;
       },
       'config.gap': (params, link) => {
         const { held } = params as { held: number };
-        this.#roll({ type: 'gap', id: link.peer, held });
+        this.#stepRollout({ type: 'gap', id: link.peer, held });
       },
       'config.whole': () => this.#rollout.config,
       'group.load': (params) => {
         this.onGroupLoad(params as GroupLoad);
         this.#options.publishLoad(params as GroupLoad);
       },
-      quarantine: (params, link) => this.#onAttachedNews('quarantine', params as SharedNews, link),
-      limits: (params, link) => this.#onAttachedNews('limits', params as SharedNews, link),
+      quarantine: (params, link) => this.#onAttachedUpdate('quarantine', params as SharedUpdate, link),
+      limits: (params, link) => this.#onAttachedUpdate('limits', params as SharedUpdate, link),
       'config.applied': (params, link) => {
-        this.#applied.set(link.peer, (params as { index: number }).index);
+        this.#appliedIndexes.set(link.peer, (params as { index: number }).index);
       },
     };
   }
 
   /** The log's configuration has changed. */
-  onControl(state: ControlState): void {
-    this.#roll({ type: 'config', config: state.config, deltas: state.deltas });
+  onControlState(state: ControlState): void {
+    this.#stepRollout({ type: 'config', config: state.config, deltas: state.deltas });
   }
 
   /** A quorum has confirmed the log's configuration. */
   onConfirmed(): void {
-    this.#roll({ type: 'confirmed' });
+    this.#stepRollout({ type: 'confirmed' });
   }
 
   /**
@@ -184,25 +184,25 @@
       known?.status === record.status &&
       known.incarnation === record.incarnation &&
       known.address === record.address;
-    this.#member(same ? { type: 'heard', ids: [record.id] } : { type: 'hello', record });
+    this.#stepMembership(same ? { type: 'heard', ids: [record.id] } : { type: 'hello', record });
   }
 
   /** An endpoint that has no process of ours has said farewell. */
   onDeparture(record: MemberRecord): void {
-    this.#member({ type: 'announce', record });
+    this.#stepMembership({ type: 'announce', record });
   }
 
   /**
    * Tells those attached here which control processes there are now: who came before the one of its AZ moves there.
    */
-  onControls(): void {
+  onControlsChanged(): void {
     const controls = this.#options.controls();
-    this.#links.forEach(({ link }) => link.notify('controls', controls));
+    this.#processes.forEach(({ link }) => link.notify('controls', controls));
   }
 
   /** Passes a group's load on to the entry processes attached here. */
   onGroupLoad(load: GroupLoad): void {
-    this.#links.forEach(({ link, record }) => {
+    this.#processes.forEach(({ link, record }) => {
       if (record.role === 'entry') {
         link.notify('group.load', load);
       }
@@ -210,28 +210,28 @@
   }
 
   /** News from another control process. */
-  onPeer(from: string, delta: DirectoryDelta): void {
-    this.#member({ type: delta.full ? 'peerFull' : 'peer', from, records: delta.records });
+  onPeerDirectory(from: string, delta: DirectoryDelta): void {
+    this.#stepMembership({ type: delta.full ? 'peerFull' : 'peer', from, records: delta.records });
   }
 
   /** Renews the leases of those heard, then looks for those that ran out. */
   tick(): void {
-    const ids = [...this.#links].flatMap(([id, { link }]) =>
-      this.#options.now() - link.heardAt < HEARD_MS ? [id] : [],
+    const ids = [...this.#processes].flatMap(([id, { link }]) =>
+      this.#options.now() - link.heardAt < LINK_STALE_MS ? [id] : [],
     );
-    this.#member({ type: 'heard', ids });
-    this.#member({ type: 'tick' });
+    this.#stepMembership({ type: 'heard', ids });
+    this.#stepMembership({ type: 'tick' });
     this.quarantine.tick();
     this.#limits.tick();
-    this.#roll({ type: 'tick' });
+    this.#stepRollout({ type: 'tick' });
   }
 
   onClosed(link: TransportLink): void {
-    if (this.#links.get(link.peer)?.link === link) {
-      this.#links.delete(link.peer);
-      this.#applied.delete(link.peer);
-      this.#roll({ type: 'unsubscribe', id: link.peer });
-      this.#findEnd(link.peer).catch((err: unknown) => {
+    if (this.#processes.get(link.peer)?.link === link) {
+      this.#processes.delete(link.peer);
+      this.#appliedIndexes.delete(link.peer);
+      this.#stepRollout({ type: 'unsubscribe', id: link.peer });
+      this.#detectExit(link.peer).catch((err: unknown) => {
         this.#options.log.warn({ err, member: link.peer }, 'end of a process not looked for');
       });
     }
@@ -241,7 +241,7 @@
    * Finds out whether a process that may coordinate a group has ended, now that its link has. Its host tells; only a
    * host of the own AZ is asked, since a partition between AZs may refuse connections in its place.
    */
-  async #findEnd(id: string): Promise<void> {
+  async #detectExit(id: string): Promise<void> {
     const known = this.#membership.directory.get(id);
     const address = parseAddress(known?.address ?? '');
     const isOwn = known?.offer?.group !== undefined && known.zone === this.#options.zone;
@@ -250,74 +250,74 @@
     }
     const found = await probeAddress(address).result;
     const record = this.#membership.directory.get(id);
-    const isSame = record?.incarnation === known.incarnation && !this.#links.has(id);
+    const isSame = record?.incarnation === known.incarnation && !this.#processes.has(id);
     if (record !== undefined && isSame && found === 'refused') {
       this.#options.log.info({ event: 'ended', member: id }, 'a process has ended');
-      this.#member({ type: 'announce', record: { ...record, status: 'gone', ended: true } });
+      this.#stepMembership({ type: 'announce', record: { ...record, status: 'gone', ended: true } });
     }
   }
 
   #onHello({ record, configIndex }: HelloMessage, link: TransportLink): HelloReply {
     const { id } = record;
-    const reply = this.#member({ type: 'hello', record });
+    const reply = this.#stepMembership({ type: 'hello', record });
     if (!reply.accepted) {
       return reply;
     }
-    this.#links.get(id)?.link.close();
+    this.#processes.get(id)?.link.close();
     // The link's peer is who said hello on it; it can't speak for another.
     // eslint-disable-next-line no-param-reassign
     link.peer = id;
-    const sender = pacedSender(link, this.#options.now);
-    const attached: Attached = { link, sender, record };
-    this.#links.set(id, attached);
+    const sender = rateLimitedSender(link, this.#options.now);
+    const attached: AttachedProcess = { link, sender, record };
+    this.#processes.set(id, attached);
     this.#sendDirectory(attached);
     if (record.role === 'entry') {
-      this.introduce((topic, news) => link.notify(topic, news));
+      this.sendSharedSets((topic, update) => link.notify(topic, update));
     }
     if (configIndex !== null) {
-      this.#applied.set(id, configIndex);
-      this.#roll({ type: 'subscribe', record, held: configIndex });
+      this.#appliedIndexes.set(id, configIndex);
+      this.#stepRollout({ type: 'subscribe', record, held: configIndex });
     }
     return { ...reply, controls: this.#options.controls() };
   }
 
   /** Tells another process all that is held here. */
-  introduce(send: (topic: SharedTopic, news: SharedNews) => void): void {
-    this.quarantine.introduce((news) => send('quarantine', news));
-    this.#limits.introduce((news) => send('limits', news));
+  sendSharedSets(send: (topic: SharedTopic, update: SharedUpdate) => void): void {
+    this.quarantine.sendAll((update) => send('quarantine', update));
+    this.#limits.sendAll((update) => send('limits', update));
   }
 
   /** Takes news of what all processes hold. */
-  onShared(
+  onSharedUpdate(
     topic: SharedTopic,
-    news: SharedNews,
+    update: SharedUpdate,
     from: string,
-    reply: (news: SharedNews) => void,
+    reply: (update: SharedUpdate) => void,
   ): void {
     const handlers: Readonly<Record<SharedTopic, () => void>> = {
-      quarantine: () => this.quarantine.onNews(news as QuarantineNews, from, reply),
-      limits: () => this.#limits.onNews(news as LimitNews, from, reply),
+      quarantine: () => this.quarantine.onUpdate(update as QuarantineNews, from, reply),
+      limits: () => this.#limits.onUpdate(update as LimitNews, from, reply),
     };
     handlers[topic]();
   }
 
-  #onAttachedNews(topic: SharedTopic, news: SharedNews, link: TransportLink): void {
-    this.onShared(topic, news, link.peer, (reply) => link.notify(topic, reply));
+  #onAttachedUpdate(topic: SharedTopic, update: SharedUpdate, link: TransportLink): void {
+    this.onSharedUpdate(topic, update, link.peer, (reply) => link.notify(topic, reply));
   }
 
   /** What an entry process tells goes to all others and all hubs; what a hub tells, to the own entry processes. */
-  #publishNews(topic: SharedTopic, news: SharedNews, from: string | null): void {
-    this.#links.forEach(({ link, record }, id) => {
+  #publishSharedUpdate(topic: SharedTopic, update: SharedUpdate, from: string | null): void {
+    this.#processes.forEach(({ link, record }, id) => {
       if (record.role === 'entry' && id !== from) {
-        link.notify(topic, news);
+        link.notify(topic, update);
       }
     });
-    if (from === null || this.#links.has(from)) {
-      this.#options.publishNews(topic, news);
+    if (from === null || this.#processes.has(from)) {
+      this.#options.publishUpdate(topic, update);
     }
   }
 
-  #member(input: MembershipInput): HelloReply {
+  #stepMembership(input: MembershipInput): HelloReply {
     const { state, outputs } = stepMembership(this.#membership, input, this.#options.now());
     this.#membership = state;
     let reply: HelloReply = { accepted: true, leastIncarnation: 0 };
@@ -325,15 +325,15 @@
       if (output.type === 'hello') {
         reply = output.reply;
       } else {
-        this.#publish(output);
+        this.#publishRecords(output);
       }
     });
     return reply;
   }
 
-  #publish({ records, origin }: Extract<MembershipOutput, { type: 'publish' }>): void {
+  #publishRecords({ records, origin }: Extract<MembershipOutput, { type: 'publish' }>): void {
     if (origin) {
-      this.#options.publish(records);
+      this.#options.publishMembers(records);
     }
     records.forEach(({ id, status, incarnation, version }) => {
       this.#options.log.info(
@@ -341,10 +341,10 @@
         'member',
       );
     });
-    this.#links.forEach(({ sender, record }) => {
-      const concerning = this.#concerning(record, records);
-      if (concerning.length > 0) {
-        sender.notify('directory', { full: false, records: concerning } satisfies DirectoryDelta);
+    this.#processes.forEach(({ sender, record }) => {
+      const relevant = this.#relevantRecords(record, records);
+      if (relevant.length > 0) {
+        sender.notify('directory', { full: false, records: relevant } satisfies DirectoryDelta);
       }
     });
   }
@@ -353,7 +353,7 @@
    * An entry process is told of its own region: work never spills out of it. An endpoint process is
    * told of its group's other processes.
    */
-  #concerning(record: MemberRecord, records: readonly MemberRecord[]): readonly MemberRecord[] {
+  #relevantRecords(record: MemberRecord, records: readonly MemberRecord[]): readonly MemberRecord[] {
     if (record.role !== 'entry') {
       const group = record.offer?.group;
       return records.filter(({ offer }) => group !== undefined && offer?.group === group);
@@ -365,8 +365,8 @@
     });
   }
 
-  #sendDirectory({ sender, record }: Attached): void {
-    const records = this.#concerning(record, [...this.#membership.directory.values()]);
+  #sendDirectory({ sender, record }: AttachedProcess): void {
+    const records = this.#relevantRecords(record, [...this.#membership.directory.values()]);
     if (record.role === 'entry' || records.length > 0) {
       sender.notify('directory', { full: true, records } satisfies DirectoryDelta);
     }
@@ -378,37 +378,37 @@
     const text = JSON.stringify([...regions]);
     if (text !== JSON.stringify([...this.#regions])) {
       this.#regions = regions;
-      this.#links.forEach((attached) => this.#sendDirectory(attached));
+      this.#processes.forEach((attached) => this.#sendDirectory(attached));
     }
   }
 
-  #roll(input: RolloutInput): void {
+  #stepRollout(input: RolloutInput): void {
     const { state, outputs } = stepRollout(this.#rollout, input, this.#options.now());
     const changed = state.config !== this.#rollout.config;
     this.#rollout = state;
     if (changed) {
       this.#updateRegions();
     }
-    outputs.forEach((output) => this.#perform(output));
+    outputs.forEach((output) => this.#performRollout(output));
   }
 
-  #perform(output: RolloutOutput): void {
+  #performRollout(output: RolloutOutput): void {
     if (output.type === 'send') {
-      this.#links.get(output.to)?.sender.notifyMerged('config', output.delta, mergeDeltas);
+      this.#processes.get(output.to)?.sender.notifyMerged('config', output.delta, mergeDeltas);
     } else if (output.type === 'phase') {
       this.#options.log.info({ event: 'rollout', phase: output.phase }, 'rollout phase');
     } else {
-      this.#fetch(output.from).catch((err: unknown) => {
+      this.#fetchConfig(output.from).catch((err: unknown) => {
         this.#options.log.warn({ err, from: output.from }, 'configuration not fetched');
       });
     }
   }
 
   /** Gets the newer configuration that a process holds. */
-  async #fetch(from: string): Promise<void> {
-    const config = await this.#links.get(from)?.link.request('config.fetch', {});
+  async #fetchConfig(from: string): Promise<void> {
+    const config = await this.#processes.get(from)?.link.request('config.fetch', {});
     if (config !== undefined && config !== null) {
-      this.#roll({ type: 'learned', config: config as ConfigState });
+      this.#stepRollout({ type: 'learned', config: config as ConfigState });
     }
   }
 }
--- a/src/daemon/DaemonHubLink.ts
+++ b/src/daemon/DaemonHubLink.ts
@@ -17,10 +17,10 @@
 import type { ControlTarget } from './DaemonSettings.js';
 
 /** A hub that hasn't taken this process in after this long is frozen or out of reach: another is tried. ms. */
-const HELLO_MS = 1_200;
+const HELLO_TIMEOUT_MS = 1_200;
 
 /** Parts of one message come at most this far apart: 4 KB at 16 KB a second, twice over. In ms. */
-const PART_GAP_MS = 600;
+const PART_TIMEOUT_MS = 600;
 
 /** What the task needs. */
 export interface HubLinkOptions {
@@ -34,10 +34,10 @@
   readonly onConfig: ((config: ConfigState) => void) | null;
   readonly onDirectory: (delta: DirectoryDelta) => void;
   readonly onGroupLoad?: (load: GroupLoad) => void;
-  readonly onQuarantine?: (news: QuarantineNews) => void;
-  readonly onLimits?: (news: LimitNews) => void;
+  readonly onQuarantine?: (update: QuarantineNews) => void;
+  readonly onLimits?: (update: LimitNews) => void;
   /** Called once attached, after each new link. */
-  readonly onUp?: () => void;
+  readonly onAttached?: () => void;
 }
 
 /** Keeps this process attached, announced and up to date. */
@@ -51,7 +51,7 @@
   #config: ConfigState = EMPTY_CONFIG;
 
   /** When a part of a large message last came, ms on the local monotonic clock. */
-  #receivedAt = -Infinity;
+  #partReceivedAt = -Infinity;
 
   /** Control processes that the one attached to last has told of. */
   #controls: readonly ControlAddress[] = [];
@@ -72,11 +72,11 @@
             this.#controls = controls as readonly ControlAddress[];
           },
           'group.load': (load) => options.onGroupLoad?.(load as GroupLoad),
-          limits: (news) => options.onLimits?.(news as LimitNews),
-          quarantine: (news) => options.onQuarantine?.(news as QuarantineNews),
+          limits: (update) => options.onLimits?.(update as LimitNews),
+          quarantine: (update) => options.onQuarantine?.(update as QuarantineNews),
         },
         () => {
-          this.#receivedAt = performance.now();
+          this.#partReceivedAt = performance.now();
         },
       ),
       onUp: async (link) => this.#hello(link),
@@ -96,13 +96,13 @@
   }
 
   /** Whether this process is attached now. */
-  get isUp(): boolean {
+  get isAttached(): boolean {
     return this.#client.link !== null;
   }
 
   /** Whether a large message is on its way here: its parts are paced. */
   get isReceiving(): boolean {
-    return performance.now() - this.#receivedAt < PART_GAP_MS;
+    return performance.now() - this.#partReceivedAt < PART_TIMEOUT_MS;
   }
 
   /** Announces a change of this process. */
@@ -126,18 +126,18 @@
     await this.#client.ping(timeoutMs);
   }
 
-  /** Looks for another control process while the link stays, until {@link settle}. */
+  /** Looks for another control process while the link stays, until {@link endSearch}. */
   searchOther(): void {
     this.#client.searchOther();
   }
 
   /** The control process is of use: no other is looked for. */
-  settle(): void {
+  endSearch(): void {
     this.#client.stopSearch();
   }
 
   /** Has the control process send again all that came after the configuration held. */
-  askAgain(): void {
+  requestConfigResend(): void {
     this.notify('config.gap', { held: this.#config.index });
   }
 
@@ -146,11 +146,11 @@
     this.#record = { ...this.#record, version: this.#record.version + 1 };
     const configIndex = this.#options.onConfig === null ? null : this.#config.index;
     const hello: HelloMessage = { record: this.#record, configIndex };
-    const reply = (await link.request('member.hello', hello, HELLO_MS)) as HelloReply;
+    const reply = (await link.request('member.hello', hello, HELLO_TIMEOUT_MS)) as HelloReply;
     if (reply.accepted) {
       this.#controls = reply.controls ?? [];
       this.#options.log.info({ event: 'attached', to: link.peer }, 'attached');
-      setImmediate(() => this.#options.onUp?.());
+      setImmediate(() => this.#options.onAttached?.());
       return;
     }
     this.#record = { ...this.#record, incarnation: reply.leastIncarnation, version: 0 };
@@ -167,12 +167,12 @@
     if (this.#controls.length === 0) {
       return targets;
     }
-    const told = new Set(this.#controls.map(({ name }) => name));
-    const rank = ({ name }: ControlTarget): number => hashText(`${record.id} ${name}`);
-    const own = (control: ControlAddress): number => Number(control.zone === record.zone);
+    const reported = new Set(this.#controls.map(({ name }) => name));
+    const sortKey = ({ name }: ControlTarget): number => hashText(`${record.id} ${name}`);
+    const isOwnZone = (control: ControlAddress): number => Number(control.zone === record.zone);
     return [
-      ...[...this.#controls].sort((a, b) => own(b) - own(a) || rank(a) - rank(b)),
-      ...targets.filter(({ name }) => !told.has(name)),
+      ...[...this.#controls].sort((a, b) => isOwnZone(b) - isOwnZone(a) || sortKey(a) - sortKey(b)),
+      ...targets.filter(({ name }) => !reported.has(name)),
     ];
   }
 
@@ -213,7 +213,7 @@
 }
 
 /** Puts the control process of the own AZ first: it shares a switch and survives a cut with us. */
-export function preferOwn(
+export function preferOwnZone(
   targets: readonly ControlTarget[],
   own: string | undefined,
 ): readonly ControlTarget[] {
--- a/src/daemon/DaemonLimits.ts
+++ b/src/daemon/DaemonLimits.ts
@@ -11,31 +11,31 @@
 } from '../coordination/index.js';
 import type { LimitNews } from '../protocol/index.js';
 import type { Runtime } from './DaemonRuntime.js';
-import { DaemonSharedSet, type SendShared, type SharedSetRules } from './DaemonSharedSet.js';
+import { DaemonSharedSet, type SendUpdate, type SharedSetRules } from './DaemonSharedSet.js';
 
 const RULES: SharedSetRules<LimitsState, EndpointLimit, LimitNews> = {
   empty: NO_LIMITS,
   itemsOf: (state) => [...state.values()],
   hash: hashLimits,
   merge: mergeLimits,
-  forget: dropExpiredLimits,
-  write: toLimitUpdates,
+  dropExpired: dropExpiredLimits,
+  toUpdates: toLimitUpdates,
 };
 
 /** What the task needs. */
 export interface LimitsOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   /** Sends to the processes that this one tells, but for the one that the news came from. */
-  readonly publish: (news: LimitNews, from: string | null) => void;
+  readonly publish: (update: LimitNews, from: string | null) => void;
   /** Called each time that the set is another one. */
-  readonly onReplaced?: () => void;
+  readonly onStateChange?: () => void;
 }
 
 /** The set of one process. */
 export class DaemonLimits {
   readonly #set: DaemonSharedSet<LimitsState, EndpointLimit, LimitNews>;
 
-  constructor({ runtime, publish, onReplaced }: LimitsOptions) {
+  constructor({ runtime, publish, onStateChange }: LimitsOptions) {
     this.#set = new DaemonSharedSet(RULES, {
       now: runtime.now,
       publish,
@@ -46,7 +46,7 @@
             'an endpoint has another limit',
           ),
         ),
-      ...(onReplaced && { onReplaced }),
+      ...(onStateChange && { onStateChange }),
     });
   }
 
@@ -55,18 +55,18 @@
   }
 
   /** Takes a change that this process has found out itself. */
-  take(step: LimitsStep): void {
-    this.#set.take(step);
+  apply(step: LimitsStep): void {
+    this.#set.apply(step);
   }
 
   /** Takes news of another process, and answers with the whole set where that process holds another. */
-  onNews(news: LimitNews, from: string, reply: SendShared<LimitNews>): void {
-    this.#set.onNews(news, from, reply);
+  onUpdate(update: LimitNews, from: string, reply: SendUpdate<LimitNews>): void {
+    this.#set.onUpdate(update, from, reply);
   }
 
   /** Sends the whole set to a process that this one has just met. */
-  introduce(send: SendShared<LimitNews>): void {
-    this.#set.introduce(send);
+  sendAll(send: SendUpdate<LimitNews>): void {
+    this.#set.sendAll(send);
   }
 
   /** Forgets what is old, and has others compare their sets with this one. */
--- a/src/daemon/DaemonMain.ts
+++ b/src/daemon/DaemonMain.ts
@@ -1,7 +1,7 @@
 /** `laburnumgauged`: one daemon, with a role by setting. */
 import { Builtins, Cli, Command, Option, type BaseContext } from 'clipanion';
 import { FindingsError, formatFinding, type Role } from '../protocol/index.js';
-import { aborted, createRuntime, type Runtime } from './DaemonRuntime.js';
+import { waitForAbort, createRuntime, type Runtime } from './DaemonRuntime.js';
 import {
   checkSettings,
   envName,
@@ -53,7 +53,7 @@
   const run = await ROLES[role]();
   await run(cfg, runtime, signal);
   if (!signal.aborted) {
-    await aborted(signal);
+    await waitForAbort(signal);
   }
   runtime.log.info({ event: 'stop' }, 'stopped');
   return Number(process.exitCode ?? 0);
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -16,25 +16,25 @@
 } from '../coordination/index.js';
 import type { QuarantineNews } from '../protocol/index.js';
 import type { Runtime } from './DaemonRuntime.js';
-import { DaemonSharedSet, type SendShared, type SharedSetRules } from './DaemonSharedSet.js';
+import { DaemonSharedSet, type SendUpdate, type SharedSetRules } from './DaemonSharedSet.js';
 
 /** Sends a message to one other process. */
-export type SendNews = SendShared<QuarantineNews>;
+export type SendQuarantineUpdate = SendUpdate<QuarantineNews>;
 
 const RULES: SharedSetRules<QuarantineState, Suspect, QuarantineNews> = {
   empty: EMPTY_QUARANTINE,
   itemsOf: (state) => [...state.values()],
   hash: hashQuarantine,
   merge: (state, { records }, now) => mergeSuspectRecords(state, records, now),
-  forget: dropExpiredSuspects,
-  write: toQuarantineUpdates,
+  dropExpired: dropExpiredSuspects,
+  toUpdates: toQuarantineUpdates,
 };
 
 /** What the task needs. */
 export interface QuarantineOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   /** Sends to the processes that this one tells, but for the one that the news came from. */
-  readonly publish: (news: QuarantineNews, from: string | null) => void;
+  readonly publish: (update: QuarantineNews, from: string | null) => void;
 }
 
 /** The set of one process. */
@@ -53,7 +53,7 @@
       now: options.runtime.now,
       publish: options.publish,
       onChanged: (changed, from) => this.#onChanged(changed, from),
-      onReplaced: () => {
+      onStateChange: () => {
         this.#customers = new Set(this.suspects.map(({ customer }) => customer));
       },
     });
@@ -65,18 +65,18 @@
   }
 
   /** Whether a customer has suspects: without any there is nothing to compare its requests with. */
-  hasSuspectOf(customer: string): boolean {
+  hasSuspects(customer: string): boolean {
     return this.#customers.has(customer);
   }
 
   /** Ends held against a request. */
-  endsOf(digest: string): number {
+  crashCount(digest: string): number {
     const suspect = this.#set.state.get(digest);
     return suspect === undefined ? 0 : crashCount(suspect);
   }
 
   /** Time until a request is forgotten, ms. */
-  heldForMs(digest: string): number {
+  quarantinedForMs(digest: string): number {
     const endedAt = this.#set.state.get(digest)?.lastCrashAt ?? -Infinity;
     return Math.max(0, endedAt + SUSPECT_RETENTION_MS - this.#options.runtime.now());
   }
@@ -87,25 +87,25 @@
     return () => this.#listeners.delete(listener);
   }
 
-  holdEnd(life: IncarnationKey, lost: readonly LostRequest[]): void {
-    this.#set.take(recordSuspects(this.#set.state, life, lost, this.#options.runtime.now()));
+  recordSuspects(incarnationKey: IncarnationKey, lost: readonly LostRequest[]): void {
+    this.#set.apply(recordSuspects(this.#set.state, incarnationKey, lost, this.#options.runtime.now()));
   }
 
   /** Releases a request; true if anything was held against it. */
   clear(digest: string): boolean {
     const step = clearSuspect(this.#set.state, digest);
-    this.#set.take(step);
+    this.#set.apply(step);
     return step.changed.length > 0;
   }
 
   /** Takes news of another process, and answers with the whole set where that process holds another. */
-  onNews(news: QuarantineNews, from: string, reply: SendNews): void {
-    this.#set.onNews(news, from, reply);
+  onUpdate(update: QuarantineNews, from: string, reply: SendQuarantineUpdate): void {
+    this.#set.onUpdate(update, from, reply);
   }
 
   /** Sends the whole set to a process that this one has just met. */
-  introduce(send: SendNews): void {
-    this.#set.introduce(send);
+  sendAll(send: SendQuarantineUpdate): void {
+    this.#set.sendAll(send);
   }
 
   /** Forgets what is old, and has others compare their sets with this one. */
--- a/src/daemon/DaemonQuarantineApi.ts
+++ b/src/daemon/DaemonQuarantineApi.ts
@@ -14,8 +14,8 @@
       digest: suspect.digest,
       customer: suspect.customer,
       ends: crashCount(suspect),
-      lives: suspect.ends.filter((life) => !suspect.cleared.includes(life)),
-      forgottenInS: Math.round(quarantine.heldForMs(suspect.digest) / 1_000),
+      lives: suspect.ends.filter((incarnationKey) => !suspect.cleared.includes(incarnationKey)),
+      forgottenInS: Math.round(quarantine.quarantinedForMs(suspect.digest) / 1_000),
     }))
     .sort((a, b) => b.ends - a.ends);
   return { requests };
--- a/src/daemon/DaemonRuntime.ts
+++ b/src/daemon/DaemonRuntime.ts
@@ -28,7 +28,7 @@
 const LOG_FLUSH_MS = 200;
 
 /** Bytes of log lines kept while nobody reads them; later lines are dropped. */
-const LOG_KEPT_BYTES = 1_048_576;
+const LOG_BUFFER_MAX_BYTES = 1_048_576;
 
 /**
  * Standard output for the log.
@@ -40,7 +40,7 @@
   const out = pino.destination({
     sync: false,
     minLength: LOG_BATCH_BYTES,
-    maxLength: LOG_KEPT_BYTES,
+    maxLength: LOG_BUFFER_MAX_BYTES,
   });
   const dropped = new Counter({
     name: 'laburnumgauge_log_lines_dropped_total',
@@ -84,7 +84,7 @@
 }
 
 /** Runs a task at an interval until the signal. */
-export function every(ms: number, signal: AbortSignal, task: () => void): void {
+export function runEvery(ms: number, signal: AbortSignal, task: () => void): void {
   const timer = setInterval(task, ms);
   signal.addEventListener('abort', () => clearInterval(timer), { once: true });
 }
@@ -96,7 +96,7 @@
  * Symptom: it never leaves, and is killed by force with streams on it. Enough: a signal that has come
  * already counts.
  */
-export async function aborted(signal: AbortSignal): Promise<void> {
+export async function waitForAbort(signal: AbortSignal): Promise<void> {
   if (!signal.aborted) {
     await new Promise<void>((resolve) => {
       signal.addEventListener('abort', () => resolve(), { once: true });
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -16,9 +16,9 @@
   type RequestIdentity,
 } from '../protocol/index.js';
 import { probeAddress } from '../transport/index.js';
-import { DaemonEndpointEnds } from './DaemonEndpointEnds.js';
+import { DaemonEndpointCrashes } from './DaemonEndpointCrashes.js';
 import type { EntryMetrics } from './DaemonEntryMetrics.js';
-import { DaemonQuarantine, type SendNews } from './DaemonQuarantine.js';
+import { DaemonQuarantine, type SendQuarantineUpdate } from './DaemonQuarantine.js';
 import type { Runtime } from './DaemonRuntime.js';
 
 /** What the task needs. */
@@ -26,7 +26,7 @@
   readonly runtime: Runtime;
   readonly metrics: EntryMetrics;
   /** Sends news to the control process; lost while there is no link. */
-  readonly send: SendNews;
+  readonly send: SendQuarantineUpdate;
 }
 
 /** Name under which the control process's news are taken: there is one at a time. */
@@ -38,49 +38,49 @@
 
   readonly #quarantine: DaemonQuarantine;
 
-  readonly #ends: DaemonEndpointEnds;
+  readonly #crashes: DaemonEndpointCrashes;
 
   readonly #digests = new WeakMap<RequestIdentity, string>();
 
-  #answers: RecentAnswers = [];
+  #recentAnswers: RecentAnswers = [];
 
   constructor(options: ScreeningOptions) {
     this.#options = options;
     const { runtime, metrics, send } = options;
     this.#quarantine = new DaemonQuarantine({
       runtime,
-      publish: (news, from) => {
+      publish: (update, from) => {
         if (from === null) {
-          send(news);
+          send(update);
         }
       },
     });
     metrics.addSuspects(() => this.#quarantine.suspects.length);
-    this.#ends = new DaemonEndpointEnds({
+    this.#crashes = new DaemonEndpointCrashes({
       runtime,
       probe: probeAddress,
-      ends: metrics.endpointEnds,
-      onSuspects: (life, suspects) => this.#quarantine.holdEnd(life, suspects),
+      crashes: metrics.endpointCrashes,
+      onSuspects: (incarnationKey, suspects) => this.#quarantine.recordSuspects(incarnationKey, suspects),
     });
   }
 
   /** Whether a request must be sent to no endpoint: so many have ended under it. */
-  isHeld(identity: RequestIdentity, mostEnds: number): boolean {
+  isQuarantined(identity: RequestIdentity, quarantineCrashes: number): boolean {
     return (
-      this.#quarantine.hasSuspectOf(identity.customer) &&
-      this.#quarantine.endsOf(this.#digest(identity)) >= mostEnds
+      this.#quarantine.hasSuspects(identity.customer) &&
+      this.#quarantine.crashCount(this.#digest(identity)) >= quarantineCrashes
     );
   }
 
   /** Time after which a request that is held may be sent again, ms. */
-  heldForMs(identity: RequestIdentity): number {
-    return this.#quarantine.heldForMs(this.#digest(identity));
+  quarantinedForMs(identity: RequestIdentity): number {
+    return this.#quarantine.quarantinedForMs(this.#digest(identity));
   }
 
   /** Writes down that a request was not sent since it is held. */
-  logHeld(identity: RequestIdentity, request: string): void {
+  logQuarantined(identity: RequestIdentity, request: string): void {
     const digest = this.#digest(identity);
-    const ends = this.#quarantine.endsOf(digest);
+    const ends = this.#quarantine.crashCount(digest);
     this.#options.runtime.log.info(
       { event: 'held', request, digest, ends },
       'not sent: endpoints have ended under this request',
@@ -88,10 +88,10 @@
   }
 
   /** Calls once a request in progress is held; the result ends that. */
-  registerHeld(identity: RequestIdentity, mostEnds: number, onHeld: () => void): () => void {
+  registerQuarantineListener(identity: RequestIdentity, quarantineCrashes: number, onQuarantined: () => void): () => void {
     return this.#quarantine.registerListener(() => {
-      if (this.isHeld(identity, mostEnds)) {
-        onHeld();
+      if (this.isQuarantined(identity, quarantineCrashes)) {
+        onQuarantined();
       }
     });
   }
@@ -101,48 +101,48 @@
    * the endpoint has. What endpoints have answered whole a short while ago isn't suspected: a call that comes all the
    * time is in progress wherever an endpoint ends.
    */
-  async onLost(endpoint: MemberRecord, identity: RequestIdentity, request: string): Promise<void> {
-    if (!wasRecentlyAnswered(this.#answers, identity, this.#options.runtime.now())) {
-      await this.#ends.onLost(endpoint, this.#lost(identity, request));
+  async onConnectionLost(endpoint: MemberRecord, identity: RequestIdentity, request: string): Promise<void> {
+    if (!wasRecentlyAnswered(this.#recentAnswers, identity, this.#options.runtime.now())) {
+      await this.#crashes.onConnectionLost(endpoint, this.#toLostRequest(identity, request));
     }
   }
 
   /** A gate has seen its engine end under a request; it counts the engine's lives. */
-  onEnded(endpoint: MemberRecord, life: number, identity: RequestIdentity, request: string): void {
-    if (!wasRecentlyAnswered(this.#answers, identity, this.#options.runtime.now())) {
-      this.#ends.onEnded(`${incarnationKeyOf(endpoint)}#${life}`, this.#lost(identity, request));
+  onEngineCrash(endpoint: MemberRecord, engineOrdinal: number, identity: RequestIdentity, request: string): void {
+    if (!wasRecentlyAnswered(this.#recentAnswers, identity, this.#options.runtime.now())) {
+      this.#crashes.onCrashed(`${incarnationKeyOf(endpoint)}#${engineOrdinal}`, this.#toLostRequest(identity, request));
     }
   }
 
   /** A request was answered whole: nothing is held against it any longer. */
-  onWhole(identity: RequestIdentity): void {
-    this.#answers = rememberAnswer(this.#answers, identity, this.#options.runtime.now());
-    if (this.#quarantine.hasSuspectOf(identity.customer)) {
+  onAnswered(identity: RequestIdentity): void {
+    this.#recentAnswers = rememberAnswer(this.#recentAnswers, identity, this.#options.runtime.now());
+    if (this.#quarantine.hasSuspects(identity.customer)) {
       this.#quarantine.clear(this.#digest(identity));
     }
   }
 
   /** Takes news of members; `isNew` tells whether an id was unknown before them. */
   onMembers(records: readonly MemberRecord[], isNew: (id: string) => boolean): void {
-    this.#ends.onMembers(records, isNew);
+    this.#crashes.onMembers(records, isNew);
   }
 
   /** Takes the control process's news. */
-  onNews(news: QuarantineNews): void {
-    this.#quarantine.onNews(news, HUB, this.#options.send);
+  onUpdate(update: QuarantineNews): void {
+    this.#quarantine.onUpdate(update, HUB, this.#options.send);
   }
 
   /** A new link to a control process is up: it is told all that is held here. */
-  onUp(): void {
-    this.#quarantine.introduce(this.#options.send);
+  onAttached(): void {
+    this.#quarantine.sendAll(this.#options.send);
   }
 
   tick(): void {
-    this.#ends.tick();
+    this.#crashes.tick();
     this.#quarantine.tick();
   }
 
-  #lost(identity: RequestIdentity, request: string): LostRequest {
+  #toLostRequest(identity: RequestIdentity, request: string): LostRequest {
     return { digest: this.#digest(identity), customer: identity.customer, request };
   }
 
--- a/src/daemon/DaemonSettings.ts
+++ b/src/daemon/DaemonSettings.ts
@@ -111,13 +111,13 @@
 /** Checks what one setting alone can't show. */
 function crossCheck(role: Role, raw: RawSettings): readonly Finding[] {
   const controlNames = (raw.control ?? '').split(',').map((part) => part.split('=')[0]);
-  const missing = role === 'control' && raw.id !== undefined && !controlNames.includes(raw.id);
-  const half = (raw.group === undefined) !== (raw.ranks === undefined);
+  const isUnlisted = role === 'control' && raw.id !== undefined && !controlNames.includes(raw.id);
+  const isPairIncomplete = (raw.group === undefined) !== (raw.ranks === undefined);
   return [
-    ...(missing
+    ...(isUnlisted
       ? [{ place: '--control', message: `does not list this process, "${raw.id}"` }]
       : []),
-    ...(half && role === 'endpoint'
+    ...(isPairIncomplete && role === 'endpoint'
       ? [{ place: '--group', message: 'goes together with --ranks' }]
       : []),
   ];
--- a/src/daemon/DaemonSharedSet.ts
+++ b/src/daemon/DaemonSharedSet.ts
@@ -4,13 +4,13 @@
  */
 
 /** How often whole sets are compared by their hashes: within the time that news may take, thrice over. In ms. */
-const COMPARE_MS = 1_000;
+const COMPARE_INTERVAL_MS = 1_000;
 
 /** A whole set is sent to one process at most this often, ms. */
-const WHOLE_MS = 300;
+const FULL_SEND_INTERVAL_MS = 300;
 
 /** Sends a message to one other process. */
-export type SendShared<News> = (news: News) => void;
+export type SendUpdate<Update> = (update: Update) => void;
 
 /** A set after a change, with the items that are news. */
 export interface SharedSetStep<State, Item> {
@@ -19,43 +19,43 @@
 }
 
 /** What the set is made of; `merge` must not depend on the order or the repetition of news. */
-export interface SharedSetRules<State, Item, News> {
+export interface SharedSetRules<State, Item, Update> {
   readonly empty: State;
   readonly itemsOf: (state: State) => readonly Item[];
   /** Stands for the whole set; 0 for an empty one. */
   readonly hash: (state: State) => number;
-  readonly merge: (state: State, news: News, now: number) => SharedSetStep<State, Item>;
+  readonly merge: (state: State, update: Update, now: number) => SharedSetStep<State, Item>;
   /** Drops what is too old; the same state where nothing is. */
-  readonly forget: (state: State, now: number) => State;
+  readonly dropExpired: (state: State, now: number) => State;
   /** Items as they are told, in messages of a bounded size; one at least. */
-  readonly write: (state: State, items: readonly Item[], now: number) => readonly News[];
+  readonly toUpdates: (state: State, items: readonly Item[], now: number) => readonly Update[];
 }
 
 /** What the task needs. */
-export interface SharedSetOptions<Item, News> {
+export interface SharedSetOptions<Item, Update> {
   readonly now: () => number;
   /** Sends to the processes that this one tells, but for the one that the news came from. */
-  readonly publish: (news: News, from: string | null) => void;
+  readonly publish: (update: Update, from: string | null) => void;
   /** Called once changes are published; `from` is null for this process's own. */
   readonly onChanged: (changed: readonly Item[], from: string | null) => void;
   /** Called each time that the set is another one. */
-  readonly onReplaced?: () => void;
+  readonly onStateChange?: () => void;
 }
 
 /** The set of one process. */
-export class DaemonSharedSet<State, Item, News extends { readonly hash: number }> {
-  readonly #rules: SharedSetRules<State, Item, News>;
+export class DaemonSharedSet<State, Item, Update extends { readonly hash: number }> {
+  readonly #rules: SharedSetRules<State, Item, Update>;
 
-  readonly #options: SharedSetOptions<Item, News>;
+  readonly #options: SharedSetOptions<Item, Update>;
 
   #state: State;
 
   /** When another process was last sent the whole set, ms. */
-  readonly #wholeSentAt = new Map<string, number>();
+  readonly #allSentAt = new Map<string, number>();
 
   #comparedAt = -Infinity;
 
-  constructor(rules: SharedSetRules<State, Item, News>, options: SharedSetOptions<Item, News>) {
+  constructor(rules: SharedSetRules<State, Item, Update>, options: SharedSetOptions<Item, Update>) {
     this.#rules = rules;
     this.#options = options;
     this.#state = rules.empty;
@@ -66,29 +66,29 @@
   }
 
   /** Takes a change of this process's own, or of another's news. */
-  take({ state, changed }: SharedSetStep<State, Item>, from: string | null = null): void {
+  apply({ state, changed }: SharedSetStep<State, Item>, from: string | null = null): void {
     this.#replace(state);
     if (changed.length > 0) {
-      this.#write(changed).forEach((news) => this.#options.publish(news, from));
+      this.#toUpdates(changed).forEach((update) => this.#options.publish(update, from));
       this.#options.onChanged(changed, from);
     }
   }
 
   /** Takes news of another process, and answers with the whole set where that process holds another. */
-  onNews(news: News, from: string, reply: SendShared<News>): void {
+  onUpdate(update: Update, from: string, reply: SendUpdate<Update>): void {
     const now = this.#options.now();
-    this.take(this.#rules.merge(this.#state, news, now), from);
-    const sentAt = this.#wholeSentAt.get(from) ?? -Infinity;
-    if (news.hash !== this.#rules.hash(this.#state) && now - sentAt >= WHOLE_MS) {
-      this.#wholeSentAt.set(from, now);
-      this.#write(this.#items).forEach(reply);
+    this.apply(this.#rules.merge(this.#state, update, now), from);
+    const sentAt = this.#allSentAt.get(from) ?? -Infinity;
+    if (update.hash !== this.#rules.hash(this.#state) && now - sentAt >= FULL_SEND_INTERVAL_MS) {
+      this.#allSentAt.set(from, now);
+      this.#toUpdates(this.#items).forEach(reply);
     }
   }
 
   /** Sends the whole set to a process that this one has just met. */
-  introduce(send: SendShared<News>): void {
+  sendAll(send: SendUpdate<Update>): void {
     if (this.#items.length > 0) {
-      this.#write(this.#items).forEach(send);
+      this.#toUpdates(this.#items).forEach(send);
     }
   }
 
@@ -98,10 +98,10 @@
    */
   tick(): void {
     const now = this.#options.now();
-    this.#replace(this.#rules.forget(this.#state, now));
-    if (this.#items.length > 0 && now - this.#comparedAt >= COMPARE_MS) {
+    this.#replace(this.#rules.dropExpired(this.#state, now));
+    if (this.#items.length > 0 && now - this.#comparedAt >= COMPARE_INTERVAL_MS) {
       this.#comparedAt = now;
-      this.#write([]).forEach((news) => this.#options.publish(news, null));
+      this.#toUpdates([]).forEach((update) => this.#options.publish(update, null));
     }
   }
 
@@ -109,14 +109,14 @@
     return this.#rules.itemsOf(this.#state);
   }
 
-  #write(items: readonly Item[]): readonly News[] {
-    return this.#rules.write(this.#state, items, this.#options.now());
+  #toUpdates(items: readonly Item[]): readonly Update[] {
+    return this.#rules.toUpdates(this.#state, items, this.#options.now());
   }
 
   #replace(state: State): void {
     if (state !== this.#state) {
       this.#state = state;
-      this.#options.onReplaced?.();
+      this.#options.onStateChange?.();
     }
   }
 }
--- a/src/daemon/__tests__/unit/DaemonAnswers.test.ts
+++ b/src/daemon/__tests__/unit/DaemonAnswers.test.ts
@@ -24,7 +24,7 @@
 };
 
 /** What a caller gets: status, content type, body and whether that is whole. */
-type Got = readonly [number, string | undefined, string, boolean];
+type Answer = readonly [number, string | undefined, string, boolean];
 
 /** Writes an answer; what stands in front of the body ends with its empty line. */
 type Script = (socket: Socket) => void;
@@ -39,7 +39,7 @@
 
 const DONE = 'data: [DONE]\n\n';
 
-const CASES: Readonly<Record<string, readonly [Script, Got]>> = {
+const CASES: Readonly<Record<string, readonly [Script, Answer]>> = {
   'a body': [answer(200, [TEXT, 'content-length: 1'], 'x'), [200, 'text/x-own', 'x', true]],
   JSON: [
     answer(200, ['content-type: application/json', 'content-length: 2'], '{}'),
@@ -124,7 +124,7 @@
       onDrained: ignore,
     };
     const gate = new DaemonGate(options);
-    gate.input({ type: 'ready' });
+    gate.step({ type: 'ready' });
     gate.addApi(app);
     return { ...record, address: `127.0.0.1:${await serve(app)}` };
   };
@@ -138,13 +138,13 @@
       isReady: true,
       customer: () => ({ name: 'kano' }),
       config: { byModel: new Map(), byPath: [['/', SERVICE]] },
-      screening: { onWhole: ignore, onLost: async () => Promise.resolve(), onEnded: ignore },
+      screening: { onAnswered: ignore, onConnectionLost: async () => Promise.resolve(), onEngineCrash: ignore },
       admit: ignore,
       begin: ignore,
       end: ignore,
       takeRetry: () => false,
       route: () => ({ endpoint }),
-      isHeld: () => false,
+      isQuarantined: () => false,
       updateRouting: ignore,
       observeFirstByte: ignore,
     };
@@ -155,7 +155,7 @@
     return serve(app);
   };
 
-  const call = async (script: Script): Promise<Got> => {
+  const call = async (script: Script): Promise<Answer> => {
     const port = await startEntry(await startGate(await startEngine(script)));
     const res = await request(`http://127.0.0.1:${port}/x`, { method: 'POST', body: 'b' });
     const body = await res.body.text().catch(() => null);
--- a/src/daemon/__tests__/unit/DaemonConsensus.test.ts
+++ b/src/daemon/__tests__/unit/DaemonConsensus.test.ts
@@ -12,7 +12,7 @@
 
 /** Simulated time of one round, ms; the real time that a retry of a disk needs passes beside it. */
 const ROUND_MS = 50;
-const REAL_MS = 3;
+const REAL_DELAY_MS = 3;
 
 interface Packet {
   readonly from: string;
@@ -39,15 +39,15 @@
         now: () => this.#now,
         rng: xoroshiro128plus(i + 1),
         send: (to, message) => this.#packets.push({ from: id, to, message }),
-        onApplied: () => undefined,
+        onStateChange: () => undefined,
       });
       this.#tasks.set(id, task);
     });
   }
 
-  async found(): Promise<void> {
+  async foundCluster(): Promise<void> {
     await Promise.all(
-      [...this.#tasks.values()].map(async (task) => task.found({ voters: VOTERS, learners: [] })),
+      [...this.#tasks.values()].map(async (task) => task.foundCluster({ voters: VOTERS, learners: [] })),
     );
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Lets time pass until a condition holds. */
-  async until(done: () => boolean): Promise<void> {
+  async runUntil(done: () => boolean): Promise<void> {
     for (let round = 0; round < 400 && !done(); round += 1) {
       this.#now += ROUND_MS;
       this.#tasks.forEach((task) => {
@@ -73,14 +73,14 @@
         task.expire();
       });
       // eslint-disable-next-line no-await-in-loop
-      await delay(REAL_MS);
+      await delay(REAL_DELAY_MS);
       const packets = this.#packets;
       this.#packets = [];
       packets.forEach(({ from, to, message }) =>
         this.task(to).post({ type: 'message', from, message }),
       );
       // eslint-disable-next-line no-await-in-loop
-      await delay(REAL_MS);
+      await delay(REAL_DELAY_MS);
     }
     assert.ok(done(), 'did not settle');
   }
@@ -97,24 +97,24 @@
   (['full', 'stalled'] as const).forEach((fault) => {
     it(`gives way while its disk is ${fault}, and takes up what it missed`, async () => {
       const replicas = new Replicas();
-      await replicas.found();
-      await replicas.until(() => replicas.leader() !== undefined);
+      await replicas.foundCluster();
+      await replicas.runUntil(() => replicas.leader() !== undefined);
       const first = replicas.leader() ?? '';
       const before = replicas.task(first).propose(replaceBy(1));
-      await replicas.until(() => replicas.versions.every((version) => version === 1));
+      await replicas.runUntil(() => replicas.versions.every((version) => version === 1));
       assert.equal((await before)?.result, 'accepted');
 
       replicas.disks.get(first)?.fail(fault);
       const during = replicas.task(first).propose(replaceBy(2));
-      await replicas.until(() => replicas.leader(first) !== undefined);
+      await replicas.runUntil(() => replicas.leader(first) !== undefined);
       const second = replicas.leader(first) ?? '';
       const elsewhere = replicas.task(second).propose(replaceBy(3));
-      await replicas.until(() => replicas.task(second).control.fleets.stockdesk?.version === 3);
+      await replicas.runUntil(() => replicas.task(second).control.fleets.stockdesk?.version === 3);
       assert.equal((await elsewhere)?.result, 'accepted');
       assert.equal(replicas.task(first).control.fleets.stockdesk?.version, 1);
 
-      replicas.disks.get(first)?.mend();
-      await replicas.until(() => replicas.versions.every((version) => version === 3));
+      replicas.disks.get(first)?.repair();
+      await replicas.runUntil(() => replicas.versions.every((version) => version === 3));
       assert.equal(await during, null);
     });
   });
--- a/src/daemon/__tests__/unit/DaemonControlService.test.ts
+++ b/src/daemon/__tests__/unit/DaemonControlService.test.ts
@@ -7,7 +7,7 @@
 import type { DaemonConsensus } from '../../DaemonConsensus.js';
 import {
   DaemonControlService,
-  type LeaseAsk,
+  type LeaseRequest,
   type LeaseReply,
 } from '../../DaemonControlService.js';
 
@@ -36,27 +36,27 @@
   });
 }
 
-async function askAsRival(record: MemberRecord, observe: boolean): Promise<LeaseReply['result']> {
-  const ask: LeaseAsk = {
+async function requestAsRival(record: MemberRecord, observe: boolean): Promise<LeaseReply['result']> {
+  const request: LeaseRequest = {
     group: 'g',
     holder: 'rank-2@30',
     durationMs: LEASE_MS,
     after: { token: HELD.token },
     observe,
   };
-  return (await openService(record).askLease(ask)).result;
+  return (await openService(record).requestLease(request)).result;
 }
 
 describe('DaemonControlService', () => {
   // Guards against: a group without a coordinator for as long as the lease of one that was killed runs.
   it('grants a lease at once when its holder has ended', async () => {
     const ended: MemberRecord = { ...RECORD, status: 'gone', ended: true };
-    assert.equal(await askAsRival(ended, true), 'granted');
-    assert.equal(await askAsRival({ ...RECORD, incarnation: 40 }, true), 'granted');
+    assert.equal(await requestAsRival(ended, true), 'granted');
+    assert.equal(await requestAsRival({ ...RECORD, incarnation: 40 }, true), 'granted');
   });
 
   it('waits a lease out when its holder is only silent', async () => {
-    assert.equal(await askAsRival({ ...RECORD, status: 'gone' }, false), 'held');
-    assert.equal(await askAsRival(RECORD, true), 'held');
+    assert.equal(await requestAsRival({ ...RECORD, status: 'gone' }, false), 'held');
+    assert.equal(await requestAsRival(RECORD, true), 'held');
   });
 });
--- a/src/daemon/__tests__/unit/DaemonHubLink.test.ts
+++ b/src/daemon/__tests__/unit/DaemonHubLink.test.ts
@@ -70,7 +70,7 @@
       onConfig: () => undefined,
       onDirectory: () => undefined,
     });
-    while (!hubLink.isUp) {
+    while (!hubLink.isAttached) {
       // eslint-disable-next-line no-await-in-loop
       await delay(10);
     }
--- a/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
+++ b/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
@@ -11,10 +11,10 @@
     let now = 0;
     const runtime = { now: () => now, log: pino({ level: 'silent' }) };
     const quarantine = new DaemonQuarantine({ runtime, publish: () => undefined });
-    quarantine.holdEnd('i-1@1', [{ digest: 'a', customer: 'kano', request: 'r1' }]);
-    assert.ok(quarantine.hasSuspectOf('kano'));
+    quarantine.recordSuspects('i-1@1', [{ digest: 'a', customer: 'kano', request: 'r1' }]);
+    assert.ok(quarantine.hasSuspects('kano'));
     now = SUSPECT_RETENTION_MS;
     quarantine.tick();
-    assert.ok(!quarantine.hasSuspectOf('kano'));
+    assert.ok(!quarantine.hasSuspects('kano'));
   });
 });
--- a/src/daemon/__tests__/unit/DaemonRuntime.test.ts
+++ b/src/daemon/__tests__/unit/DaemonRuntime.test.ts
@@ -2,7 +2,7 @@
 import { spawn } from 'node:child_process';
 import path from 'node:path';
 import { describe, it } from 'node:test';
-import { aborted } from '../../DaemonRuntime.js';
+import { waitForAbort } from '../../DaemonRuntime.js';
 
 /** A process that logs 40 MB at once, then tells on its error output how long that took, and the drops. */
 const PROGRAM = `
@@ -30,7 +30,7 @@
       // Standard output is a pipe that nobody reads.
       { stdio: ['ignore', 'pipe', 'pipe'] },
     );
-    const told = await new Promise<string>((resolve) => {
+    const report = await new Promise<string>((resolve) => {
       let text = '';
       child.stderr.on('data', (data: Buffer) => {
         text += data.toString();
@@ -40,7 +40,7 @@
       });
     });
     child.kill('SIGKILL');
-    const { dropped } = JSON.parse(told) as { readonly dropped: number };
+    const { dropped } = JSON.parse(report) as { readonly dropped: number };
     assert.ok(dropped > 30_000, `${dropped} of 40,000 dropped`);
   });
 });
@@ -51,9 +51,9 @@
   it('counts a signal that came before anyone listened', async () => {
     const early = new AbortController();
     early.abort();
-    await aborted(early.signal);
+    await waitForAbort(early.signal);
     const later = new AbortController();
-    const waiting = aborted(later.signal);
+    const waiting = waitForAbort(later.signal);
     later.abort();
     await waiting;
   });
--- a/src/daemon/__tests__/utils/FakeDisk.ts
+++ b/src/daemon/__tests__/utils/FakeDisk.ts
@@ -9,7 +9,7 @@
 
   #release: (() => void) | null = null;
 
-  #sound: Promise<void> = Promise.resolve();
+  #repaired: Promise<void> = Promise.resolve();
 
   constructor(replica: string) {
     this.identity = { replica };
@@ -17,12 +17,12 @@
 
   fail(fault: 'full' | 'stalled'): void {
     this.#fault = fault;
-    this.#sound = new Promise((resolve) => {
+    this.#repaired = new Promise((resolve) => {
       this.#release = resolve;
     });
   }
 
-  mend(): void {
+  repair(): void {
     this.#fault = null;
     this.#release?.();
   }
@@ -31,7 +31,7 @@
     if (this.#fault === 'full') {
       throw new Error('no space left');
     }
-    await this.#sound;
+    await this.#repaired;
   }
 
   async rewrite(): Promise<void> {
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -266,13 +266,13 @@
 
   /** Answers a request that must be sent to no endpoint any more. */
   #hold(): void {
-    this.#state.screening.logHeld(this.#spec.identity, this.#spec.head.id);
+    this.#state.screening.logQuarantined(this.#spec.identity, this.#spec.head.id);
     if (this.#spec.reply.begun || this.#mayHaveRun) {
       this.#conclude(this.#spec.reply.begun ? 'cut' : 'fail', null);
       return;
     }
     const { reply, identity } = this.#spec;
-    const heldForMs = this.#state.screening.heldForMs(identity);
+    const heldForMs = this.#state.screening.quarantinedForMs(identity);
     reply.refuse(quarantined(), heldForMs, this.#state.isLeaving);
     this.#finish('quarantined');
   }
@@ -359,7 +359,7 @@
   #onStreamEnd(answer: AttemptHead): void {
     this.#onWriting();
     this.#settle('whole');
-    this.#state.screening.onWhole(this.#spec.identity);
+    this.#state.screening.onAnswered(this.#spec.identity);
     if (this.#isOver) {
       return;
     }
@@ -387,7 +387,7 @@
   #onWhole(answer: WholeAnswer, outcome: DirectOutcome): void {
     this.#settle('whole');
     if (outcome === 'whole') {
-      this.#state.screening.onWhole(this.#spec.identity);
+      this.#state.screening.onAnswered(this.#spec.identity);
     }
     if (this.#isOver) {
       return;
--- a/src/daemon/direct/DirectConfigWatch.ts
+++ b/src/daemon/direct/DirectConfigWatch.ts
@@ -28,16 +28,16 @@
 
 /** What the watch needs of the link to the hub. */
 export interface ConfigHub {
-  readonly isUp: boolean;
+  readonly isAttached: boolean;
   /** Whether a large message is on its way here. */
   readonly isReceiving: boolean;
   request: (method: string, params: unknown, timeoutMs?: number) => Promise<unknown>;
   ping: (timeoutMs: number) => Promise<void>;
   /** Looks for another hub beside this one, until `settle`. */
   searchOther: () => void;
-  settle: () => void;
+  endSearch: () => void;
   /** Has the hub send again all that came after the configuration held. */
-  askAgain: () => void;
+  requestConfigResend: () => void;
 }
 
 /** What the watch stands on. */
@@ -75,7 +75,7 @@
   ask(): void {
     const { hub, runtime } = this.#options;
     const now = runtime.now();
-    if (this.#asking || !hub.isUp || now - this.#askedAt < ASK_MS) {
+    if (this.#asking || !hub.isAttached || now - this.#askedAt < ASK_MS) {
       return;
     }
     this.#askedAt = now;
@@ -107,7 +107,7 @@
     this.#failures = 0;
     if (onNewest(index, askedAt)) {
       this.#behind = 0;
-      hub.settle();
+      hub.endSearch();
       return;
     }
     this.#onBehind(index);
@@ -127,7 +127,7 @@
     this.#behind += 1;
     if (this.#behind === ASK_AGAIN_AFTER) {
       runtime.log.warn({ event: 'behind', newest: index }, 'a change is asked for again');
-      hub.askAgain();
+      hub.requestConfigResend();
     } else if (this.#behind >= SEARCH_AFTER) {
       this.#behind = 0;
       runtime.log.warn({ event: 'behind', newest: index }, 'another hub is looked for');
--- a/src/daemon/direct/DirectEndpoint.ts
+++ b/src/daemon/direct/DirectEndpoint.ts
@@ -4,7 +4,7 @@
 import { serveLinks, type Address } from '../../transport/index.js';
 import { DaemonCoordinator } from '../DaemonCoordinator.js';
 import { DaemonHubLink } from '../DaemonHubLink.js';
-import { every, type Runtime } from '../DaemonRuntime.js';
+import { runEvery, type Runtime } from '../DaemonRuntime.js';
 import type { ControlTarget } from '../DaemonSettings.js';
 import { COORDINATOR_TICK_MS, DirectCoordinator } from './DirectCoordinator.js';
 import { DirectGroupMembers } from './DirectGroupMembers.js';
@@ -118,19 +118,19 @@
     outlookSince: (token) => rank.outlookSince(token),
     publish: (load) => hubLink.notify('group.load', load),
   });
-  every(LEASE_TICK_MS, signal, () => {
-    if (hubLink.isUp) {
+  runEvery(LEASE_TICK_MS, signal, () => {
+    if (hubLink.isAttached) {
       lease.tick();
     }
     if (lease.lease.held !== null) {
       peers.follow(members.addresses);
     }
   });
-  every(COORDINATOR_TICK_MS, signal, () => coordinator.tick());
+  runEvery(COORDINATOR_TICK_MS, signal, () => coordinator.tick());
   let readAt = -Infinity;
-  every(GROUP_POLL_MS, signal, () => {
+  runEvery(GROUP_POLL_MS, signal, () => {
     const due = limits.value === null || runtime.now() - readAt > CONFIG_MS;
-    if (lease.lease.held !== null && hubLink.isUp && due) {
+    if (lease.lease.held !== null && hubLink.isAttached && due) {
       readAt = runtime.now();
       limits.read(hubLink).catch((err: unknown) => log.warn({ err }, 'configuration not read'));
     }
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -12,7 +12,7 @@
 import { readBody, serveHttp, type Address } from '../../transport/index.js';
 import { DaemonHubLink } from '../DaemonHubLink.js';
 import { createApp } from '../DaemonApp.js';
-import { aborted, every, type Runtime } from '../DaemonRuntime.js';
+import { waitForAbort, runEvery, type Runtime } from '../DaemonRuntime.js';
 import type { ControlTarget } from '../DaemonSettings.js';
 import type { PlaceVerdict } from './DirectAdmission.js';
 import { DirectConfigWatch } from './DirectConfigWatch.js';
@@ -125,11 +125,11 @@
       onConfig: (config) => this.#state.onConfig(config),
       onDirectory: (delta) => this.#state.onDirectory(delta),
       onGroupLoad: (load) => this.#state.admission.onLoad(load),
-      onQuarantine: (news) => this.#state.screening.onNews(news),
+      onQuarantine: (news) => this.#state.screening.onUpdate(news),
       onLimits: (news) => this.#state.turns.limits.onNews(news),
-      onUp: () => {
+      onAttached: () => {
         this.#watch.ask();
-        this.#state.screening.onUp();
+        this.#state.screening.onAttached();
         this.#state.turns.limits.onUp();
       },
     });
@@ -161,13 +161,13 @@
       server.once('error', reject);
       server.listen({ host: callers.host, port: callers.port, backlog: 1_024 }, resolve);
     });
-    every(TICK_MS, signal, () => this.#tick());
-    every(UNPROVEN_TICK_MS, signal, () => {
+    runEvery(TICK_MS, signal, () => this.#tick());
+    runEvery(UNPROVEN_TICK_MS, signal, () => {
       if (!this.#state.isProven) {
         this.#watch.ask();
       }
     });
-    every(QUEUE_TICK_MS, signal, () => {
+    runEvery(QUEUE_TICK_MS, signal, () => {
       this.#state.settle();
       if (this.#state.admission.waiting > 0) {
         this.#state.admission.tick();
@@ -303,8 +303,8 @@
       this.#state.admission.onUnused(spec.service);
     }
     const { screening } = this.#state;
-    screening.logHeld(spec.identity, spec.head.id);
-    const heldForMs = screening.heldForMs(spec.identity);
+    screening.logQuarantined(spec.identity, spec.head.id);
+    const heldForMs = screening.quarantinedForMs(spec.identity);
     spec.reply.refuse(quarantined(), heldForMs, this.#state.isLeaving);
     this.#state.requests.end(spec, spec.reply.isClosed ? 'callerGone' : 'quarantined', UNSENT);
   }
@@ -433,7 +433,7 @@
   }));
   await serveHttp(app, cfg.metrics, stop.signal);
   runtime.log.info({ event: 'listening', callers: cfg.callers }, 'entry is up');
-  await aborted(signal);
+  await waitForAbort(signal);
   await entry.leave();
   stop.abort();
   readiness.close();
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -40,8 +40,8 @@
 } from '../../protocol/index.js';
 import { viewRoutes, type ConfigState, type RouteView } from '../../state/index.js';
 import { findLast, type EndpointPool } from '../../transport/index.js';
-import type { SendNews } from '../DaemonQuarantine.js';
-import type { SendShared } from '../DaemonSharedSet.js';
+import type { SendQuarantineUpdate } from '../DaemonQuarantine.js';
+import type { SendUpdate } from '../DaemonSharedSet.js';
 import { DaemonScreening } from '../DaemonScreening.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import { DirectAdmission, USUAL_PAUSE_MS, type ModelService } from './DirectAdmission.js';
@@ -64,9 +64,9 @@
   readonly revokeMs: number;
   readonly retries: RetryAllowance;
   /** Sends news of suspected requests to the control process. */
-  readonly sendNews: SendNews;
+  readonly sendNews: SendQuarantineUpdate;
   /** Sends news of limits to the control process. */
-  readonly sendLimits: SendShared<LimitNews>;
+  readonly sendLimits: SendUpdate<LimitNews>;
 }
 
 /** Instances proven gone are remembered this long, against late news of them. In ms. */
@@ -296,12 +296,12 @@
 
   /** Whether a request must be sent to no endpoint. */
   isHeld({ identity, service }: DirectSpec): boolean {
-    return this.screening.isHeld(identity, this.#mostEnds(service));
+    return this.screening.isQuarantined(identity, this.#mostEnds(service));
   }
 
   /** Calls once a request in progress is held; the result ends that. */
   registerHeld({ identity, service }: DirectSpec, onHeld: () => void): () => void {
-    return this.screening.registerHeld(identity, this.#mostEnds(service), onHeld);
+    return this.screening.registerQuarantineListener(identity, this.#mostEnds(service), onHeld);
   }
 
   /** Whether an endpoint is left for another attempt. */
@@ -366,7 +366,7 @@
   async onConnectionEnded(endpoint: MemberRecord, spec: DirectSpec): Promise<void> {
     const record = this.#view.get(endpoint.id)?.record;
     if (record?.status === 'serving' && record.incarnation === endpoint.incarnation) {
-      await this.screening.onLost(endpoint, spec.identity, spec.head.id);
+      await this.screening.onConnectionLost(endpoint, spec.identity, spec.head.id);
     }
   }
 
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -15,7 +15,7 @@
 import type { LimitNews, MemberRecord, NamedLimit } from '../../protocol/index.js';
 import { DaemonLimits } from '../DaemonLimits.js';
 import type { Runtime } from '../DaemonRuntime.js';
-import type { SendShared } from '../DaemonSharedSet.js';
+import type { SendUpdate } from '../DaemonSharedSet.js';
 import { DirectPaces } from './DirectPaces.js';
 
 /** What the task needs. */
@@ -24,7 +24,7 @@
   readonly self: string;
   readonly runtime: Pick<Runtime, 'now' | 'log' | 'registry'>;
   /** Sends news to the control process; lost while there is no link. */
-  readonly send: SendShared<LimitNews>;
+  readonly send: SendUpdate<LimitNews>;
 }
 
 /** Name under which the control process's news are taken: there is one at a time. */
@@ -53,7 +53,7 @@
           options.send(news);
         }
       },
-      onReplaced: () => this.#adjust(),
+      onStateChange: () => this.#adjust(),
     });
     const count = (): number => this.paces.size;
     // eslint-disable-next-line no-new
@@ -87,7 +87,7 @@
     const { log, now } = this.#options.runtime;
     const life = incarnationKeyOf(endpoint);
     const step = applyAdvertisedLimit(this.#limits.state, life, sent, limit, now());
-    this.#limits.take(step);
+    this.#limits.apply(step);
     if (step.changed.length > 0 || limit === 'unreadable') {
       log.info({ event: 'limit_named', endpoint: life, limit, request }, 'an answer names a limit');
     }
@@ -95,12 +95,12 @@
 
   /** Takes the control process's news. */
   onNews(news: LimitNews): void {
-    this.#limits.onNews(news, HUB, this.#options.send);
+    this.#limits.onUpdate(news, HUB, this.#options.send);
   }
 
   /** A new link to a control process is up: it is told all that is held here. */
   onUp(): void {
-    this.#limits.introduce(this.#options.send);
+    this.#limits.sendAll(this.#options.send);
   }
 
   /** Forgets what is old: limits, and hosts that have left. */
--- a/src/daemon/direct/__tests__/unit/DirectCall.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCall.test.ts
@@ -49,7 +49,7 @@
     now: () => performance.now(),
     isLeaving: false,
     admission: ADMISSION,
-    screening: { onWhole: ignore },
+    screening: { onAnswered: ignore },
     dialect: { writeForward: () => [], readAnswer: () => HEAD },
     registerHeld: () => ignore,
     isHeld: () => false,
@@ -266,7 +266,7 @@
       canRoute: () => sends < 2,
       takeRetry: () => true,
       onDone: (_service: string, _endpoint: string, result: string) => results.push(result),
-      screening: { onWhole: () => results.push('sound') },
+      screening: { onAnswered: () => results.push('sound') },
       dialect: {
         writeForward: () => [],
         readAnswer: () => ({ ...HEAD, isStream: sends === 1 }),
--- a/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
@@ -7,7 +7,7 @@
 
 /** A hub whose answers the test gives, and what was asked of the link to it. */
 class FakeHub implements ConfigHub {
-  readonly isUp = true;
+  readonly isAttached = true;
 
   isReceiving = false;
 
@@ -31,11 +31,11 @@
     this.done.push('searchOther');
   }
 
-  settle(): void {
+  endSearch(): void {
     this.done.push('settle');
   }
 
-  askAgain(): void {
+  requestConfigResend(): void {
     this.done.push('askAgain');
   }
 }
