--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -26,11 +26,11 @@
 import type { EngineCosts, GroupLoad, MemberRecord } from '../../protocol/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import { DIRECT_FLEET } from './DirectDocument.js';
-import { DirectPlacesLog } from './DirectPlacesLog.js';
+import { DirectSlotsLog } from './DirectSlotsLog.js';
 import { DirectStreams } from './DirectStreams.js';
 
 /** A request that asks for a place. */
-export interface PlaceRequest {
+export interface SlotRequest {
   readonly request: string;
   readonly service: string;
   readonly priority: number;
@@ -43,12 +43,12 @@
   readonly tokens: number | null;
   readonly likelyTokens: number | null;
   /** Events of the answer that the caller has. */
-  readonly eventsHad: number;
-  readonly returned: boolean;
+  readonly eventsReceived: number;
+  readonly isCallerRetry: boolean;
 }
 
 /** A place, or a refusal with when to come back. */
-export type PlaceVerdict =
+export type SlotDecision =
   { readonly granted: true } | { readonly granted: false; readonly retryAfterMs: number };
 
 /** What a service of model engines declares, with the pause that its routes aim at. */
@@ -58,13 +58,13 @@
 }
 
 /** Pause aimed at where no route says, ms. */
-export const USUAL_PAUSE_MS = 120;
+export const DEFAULT_PAUSE_MS = 120;
 
 /** Passes from sending to the first event, beside reading the prompt. */
-const FIRST_PASSES = 1.5;
+const FIRST_EVENT_PASSES = 1.5;
 
 /** Time of connections and forwarding to the first event, ms. */
-const FIRST_EXTRA_MS = 30;
+const FIRST_EVENT_OVERHEAD_MS = 30;
 
 /**
  * Down for longer than this a service is given up until it answers: callers' deadlines are 8 s, and a partition that
@@ -77,7 +77,7 @@
 
 interface Waiter {
   readonly waiting: WaitingRequest;
-  readonly resolve: (verdict: PlaceVerdict) => void;
+  readonly resolve: (verdict: SlotDecision) => void;
 }
 
 interface Service {
@@ -98,7 +98,7 @@
 
   readonly #log: Logger;
 
-  readonly #placesLog: DirectPlacesLog;
+  readonly #slotsLog: DirectSlotsLog;
 
   readonly #modelOf: (service: string) => ModelService | null;
 
@@ -115,7 +115,7 @@
   readonly #downSince = new Map<string, number>();
 
   /** When a service whose groups were all closed had one open again, ms. */
-  readonly #openedAt = new Map<string, number>();
+  readonly #reopenedAt = new Map<string, number>();
 
   /** Granted places whose request isn't sent yet, by service. */
   readonly #granted = new Map<string, number>();
@@ -128,7 +128,7 @@
     this.#zone = zone;
     this.#runtime = runtime;
     this.#log = runtime.log;
-    this.#placesLog = new DirectPlacesLog(runtime.log, runtime.now);
+    this.#slotsLog = new DirectSlotsLog(runtime.log, runtime.now);
     this.#modelOf = modelOf;
   }
 
@@ -173,31 +173,31 @@
         }
         this.#replaceGroup(service, next);
         this.#logLoad(service, next);
-        this.#pump(service);
+        this.#admitWaiting(service);
       }
     });
   }
 
   #logLoad(service: string, state: GroupSlots): void {
-    this.#placesLog.write(state, {
+    this.#slotsLog.write(state, {
       own: this.#own,
       waiting: this.#services.get(service)?.queue.length ?? 0,
     });
   }
 
   /** Asks for a place; resolves at once where the service has no groups. */
-  async acquire(req: PlaceRequest, signal: AbortSignal): Promise<PlaceVerdict> {
-    this.#listen();
+  async acquire(req: SlotRequest, signal: AbortSignal): Promise<SlotDecision> {
+    this.#detectStalledGroups();
     const state = this.#services.get(req.service);
-    const outlook = this.#outlook(req.service);
+    const forecast = this.#forecast(req.service);
     const model = this.#modelOf(req.service);
-    if (state === undefined || outlook === null || model === null) {
+    if (state === undefined || forecast === null || model === null) {
       return { granted: true };
     }
     this.#counter += 1;
-    const had = req.eventsHad * model.costs.stepsPerPass;
-    const tokens = Math.max(1, (req.tokens ?? model.costs.usualAnswer) - had);
-    const likely = Math.max(1, (req.likelyTokens ?? model.costs.usualAnswer) - had);
+    const tokensReceived = req.eventsReceived * model.costs.stepsPerPass;
+    const tokens = Math.max(1, (req.tokens ?? model.costs.usualAnswer) - tokensReceived);
+    const likely = Math.max(1, (req.likelyTokens ?? model.costs.usualAnswer) - tokensReceived);
     const waiting: WaitingRequest = {
       id: this.#counter,
       priority: req.priority,
@@ -207,15 +207,15 @@
       firstEventDeadline: req.startedAt + req.patienceMs,
       tokens,
       likelyTokens: Math.min(tokens, likely),
-      isCallerRetry: req.returned,
+      isCallerRetry: req.isCallerRetry,
     };
     return new Promise((resolve) => {
       this.#waiters.set(waiting.id, { waiting, resolve });
-      signal.addEventListener('abort', () => this.#leave(req.service, waiting.id), { once: true });
+      signal.addEventListener('abort', () => this.#removeWaiter(req.service, waiting.id), { once: true });
       const { now, random } = this.#runtime;
-      const step = enqueue(state.queue, waiting, outlook, now(), random());
-      this.#log.debug({ event: 'place', request: req.request, free: outlook.free }, 'asked');
-      this.#take(req.service, step);
+      const step = enqueue(state.queue, waiting, forecast, now(), random());
+      this.#log.debug({ event: 'place', request: req.request, free: forecast.free }, 'asked');
+      this.#applyStep(req.service, step);
     });
   }
 
@@ -231,52 +231,52 @@
   }
 
   /** Looks at the own streams of each group: where all of them have fallen silent it is broken. */
-  #listen(): void {
+  #detectStalledGroups(): void {
     const now = this.#runtime.now();
     this.#services.forEach(({ groups }, service) => {
       groups.forEach((group) => {
-        const own = this.#streams.at(group.ranks.map(({ endpoint }) => endpoint));
+        const own = this.#streams.combined(group.ranks.map(({ endpoint }) => endpoint));
         if (isGroupStalled(group, own, now)) {
-          this.#break(service, group);
+          this.#markBroken(service, group);
         }
       });
     });
   }
 
-  #break(service: string, group: GroupSlots): void {
-    const broken = markGroupBroken(group, this.#runtime.now());
-    this.#replaceGroup(service, broken);
+  #markBroken(service: string, group: GroupSlots): void {
+    const brokenGroup = markGroupBroken(group, this.#runtime.now());
+    this.#replaceGroup(service, brokenGroup);
     if (group.brokenAt === null) {
-      this.#logLoad(service, broken);
+      this.#logLoad(service, brokenGroup);
     }
   }
 
   /** An event of a stream has come; `begins` where it is the first. */
-  onEvent(endpoint: string, begins: boolean): void {
-    this.#streams.onEvent(endpoint, begins, this.#runtime.now());
+  onEvent(endpoint: string, isFirst: boolean): void {
+    this.#streams.onEvent(endpoint, isFirst, this.#runtime.now());
     this.#services.forEach(({ groups }, service) => {
       groups.forEach((group) => {
         const wasDown = group.brokenAt !== null || this.#downSince.has(service);
-        const heard = wasDown && group.ranks.some((rank) => rank.endpoint === endpoint);
-        if (heard) {
+        const isAliveAgain = wasDown && group.ranks.some((rank) => rank.endpoint === endpoint);
+        if (isAliveAgain) {
           this.#downSince.delete(service);
           this.#replaceGroup(service, markGroupRecovered(group));
-          this.#pump(service);
+          this.#admitWaiting(service);
         }
       });
     });
   }
 
   /** A stream that had begun is over. */
-  onStreamOver(endpoint: string): void {
-    this.#streams.onOver(endpoint);
+  onStreamFinished(endpoint: string): void {
+    this.#streams.onFinished(endpoint);
   }
 
   /** A request is over that had no event; `givenUp` where nothing at all came from the endpoint. */
-  onUnanswered(service: string, endpoint: string, givenUp: boolean): void {
+  onUnanswered(service: string, endpoint: string, wasCancelled: boolean): void {
     const groups = [...(this.#services.get(service)?.groups.values() ?? [])];
-    const shuns = givenUp && groups.some((group) => this.#silentAt(group).includes(endpoint));
-    this.#streams.onUnanswered(endpoint, shuns, this.#runtime.now());
+    const avoid = wasCancelled && groups.some((group) => this.#unresponsiveIn(group).includes(endpoint));
+    this.#streams.onUnanswered(endpoint, avoid, this.#runtime.now());
   }
 
   /** The endpoint for a request by its group's places; undefined where the service has no groups. */
@@ -287,16 +287,16 @@
     }
     const { random } = this.#runtime;
     const all = [...groups.values()];
-    const silent = all.flatMap((group) => this.#silentAt(group));
-    const choose = (without: readonly string[]): string | null =>
-      chooseRank(all, this.#own, this.#zone, without, random);
+    const unresponsive = all.flatMap((group) => this.#unresponsiveIn(group));
+    const choose = (excluded: readonly string[]): string | null =>
+      chooseRank(all, this.#own, this.#zone, excluded, random);
     // One that is silent is better than none: its group may have stood still, and go on.
-    return choose([...exclude, ...silent]) ?? (silent.length > 0 ? choose(exclude) : null);
+    return choose([...exclude, ...unresponsive]) ?? (unresponsive.length > 0 ? choose(exclude) : null);
   }
 
-  #silentAt({ ranks }: GroupSlots): readonly string[] {
+  #unresponsiveIn({ ranks }: GroupSlots): readonly string[] {
     const endpoints = ranks.map(({ endpoint }) => endpoint);
-    return this.#streams.silentAmong(endpoints, this.#runtime.now());
+    return this.#streams.unresponsiveAmong(endpoints, this.#runtime.now());
   }
 
   onSent(service: string, endpoint: string): void {
@@ -312,7 +312,7 @@
     } else {
       this.#own.delete(endpoint);
     }
-    this.#pump(service);
+    this.#admitWaiting(service);
   }
 
   /** A granted place that came to nothing. */
@@ -322,7 +322,7 @@
 
   /** Looks at those that wait: time alone may change what can still be answered. */
   tick(): void {
-    this.#listen();
+    this.#detectStalledGroups();
     this.#services.forEach(({ groups }, service) => {
       const rules = this.#rules(service);
       if (rules !== null) {
@@ -333,13 +333,13 @@
           }
         });
       }
-      this.#pump(service);
+      this.#admitWaiting(service);
     });
   }
 
   /** When a request that no endpoint could take should come back, ms; null where that isn't known. */
   retryAfter(service: string, leftMs: number): number | null {
-    const outlook = this.#outlook(service);
+    const outlook = this.#forecast(service);
     const waiting = this.#services.get(service)?.queue.length ?? 0;
     return outlook === null ? null : retryDelayMs(leftMs, waiting, outlook, this.#runtime.random());
   }
@@ -355,7 +355,7 @@
     this.#services.forEach(({ groups }, service) => {
       groups.forEach((group) => {
         if (group.ranks.some((rank) => rank.endpoint === endpoint)) {
-          this.#break(service, group);
+          this.#markBroken(service, group);
         }
       });
     });
@@ -389,7 +389,7 @@
     const now = this.#runtime.now();
     if (!this.isClosed(service)) {
       if (wasClosed) {
-        this.#openedAt.set(service, now);
+        this.#reopenedAt.set(service, now);
       }
     } else if (!this.#downSince.has(service)) {
       this.#downSince.set(service, now);
@@ -402,8 +402,8 @@
   }
 
   #isRecovering(service: string): boolean {
-    const openedAt = this.#openedAt.get(service) ?? -Infinity;
-    return this.isClosed(service) || this.#runtime.now() - openedAt < RECOVERY_MS;
+    const reopenedAt = this.#reopenedAt.get(service) ?? -Infinity;
+    return this.isClosed(service) || this.#runtime.now() - reopenedAt < RECOVERY_MS;
   }
 
   #rules(service: string): SlotParameters | null {
@@ -411,17 +411,17 @@
     return model === null ? null : { ...model, entryHosts: this.#entryHosts };
   }
 
-  #outlook(service: string): QueueForecast | null {
+  #forecast(service: string): QueueForecast | null {
     const state = this.#services.get(service);
     const model = this.#modelOf(service);
     if (state === undefined || model === null || state.groups.size === 0) {
       return null;
     }
     const groups = [...state.groups.values()];
-    const answering = groups.filter(isOpenGroup);
+    const openGroups = groups.filter(isOpenGroup);
     const granted = this.#granted.get(service) ?? 0;
-    const free = answering.reduce((sum, group) => sum + freeSlotsAt(group, this.#own), 0) - granted;
-    const places = groups.reduce(
+    const free = openGroups.reduce((sum, group) => sum + freeSlotsAt(group, this.#own), 0) - granted;
+    const slots = groups.reduce(
       (total, group) => total + Math.max(group.allowance, ownRequestsAt(group, this.#own)),
       0,
     );
@@ -432,45 +432,45 @@
       free: Math.max(0, free),
       isRecovering: this.#isRecovering(service),
       isLongDown: this.#isLongDown(service),
-      ratePerMs: answering.length > 0 ? places / Math.max(1, writeMs(costs.usualAnswer)) : 0,
-      firstMs: FIRST_PASSES * passMs + costs.usualPrompt / costs.readTokensPerMs + FIRST_EXTRA_MS,
+      ratePerMs: openGroups.length > 0 ? slots / Math.max(1, writeMs(costs.usualAnswer)) : 0,
+      firstMs: FIRST_EVENT_PASSES * passMs + costs.usualPrompt / costs.readTokensPerMs + FIRST_EVENT_OVERHEAD_MS,
       writeMs,
     };
   }
 
-  #pump(service: string): void {
+  #admitWaiting(service: string): void {
     const state = this.#services.get(service);
-    const outlook = state === undefined || state.queue.length === 0 ? null : this.#outlook(service);
+    const outlook = state === undefined || state.queue.length === 0 ? null : this.#forecast(service);
     if (state !== undefined && outlook !== null) {
       const { now, random } = this.#runtime;
-      this.#take(service, admitWaiting(state.queue, outlook, now(), random()));
+      this.#applyStep(service, admitWaiting(state.queue, outlook, now(), random()));
     }
   }
 
-  #take(service: string, { queue, admitted, refused }: QueueStep): void {
+  #applyStep(service: string, { queue, admitted, refused }: QueueStep): void {
     const state = this.#services.get(service);
     if (state !== undefined) {
       this.#services.set(service, { ...state, queue });
     }
     this.#granted.set(service, (this.#granted.get(service) ?? 0) + admitted.length);
-    admitted.forEach((id) => this.#settle(id, { granted: true }));
-    refused.forEach(({ id, retryAfterMs }) => this.#settle(id, { granted: false, retryAfterMs }));
+    admitted.forEach((id) => this.#resolve(id, { granted: true }));
+    refused.forEach(({ id, retryAfterMs }) => this.#resolve(id, { granted: false, retryAfterMs }));
   }
 
-  #settle(id: number, verdict: PlaceVerdict): void {
+  #resolve(id: number, verdict: SlotDecision): void {
     this.#waiters.get(id)?.resolve(verdict);
     this.#waiters.delete(id);
   }
 
   /** The caller is gone: its place in the queue, or one just granted, is free again. */
-  #leave(service: string, id: number): void {
+  #removeWaiter(service: string, id: number): void {
     const state = this.#services.get(service);
     if (this.#waiters.has(id) && state !== undefined) {
       this.#services.set(service, {
         ...state,
         queue: state.queue.filter((waiting) => waiting.id !== id),
       });
-      this.#settle(id, { granted: false, retryAfterMs: 0 });
+      this.#resolve(id, { granted: false, retryAfterMs: 0 });
     }
   }
 }
--- a/src/daemon/direct/DirectAttempt.ts
+++ b/src/daemon/direct/DirectAttempt.ts
@@ -33,7 +33,7 @@
   /** Whether another instance now has the endpoint's address. */
   readonly wrongInstance: boolean;
   /** Whether the connection ended under the request: a lost one, or the end of the endpoint. */
-  readonly connectionEnded: boolean;
+  readonly connectionLost: boolean;
 }
 
 /** What a request hears of its attempt. */
@@ -60,7 +60,7 @@
   readonly listener: AttemptListener;
 }
 
-const FIRST_FAILURE = 500;
+const FIRST_ERROR_STATUS = 500;
 
 /** A running attempt; it reports once how it ended, and nothing after `abort`. */
 export class DirectAttempt implements CallListener {
@@ -74,9 +74,9 @@
 
   #chunks: Buffer[] = [];
 
-  #over = false;
+  #isOver = false;
 
-  #heldBack = false;
+  #wasHeldBack = false;
 
   constructor(options: AttemptOptions) {
     this.#options = options;
@@ -85,13 +85,13 @@
 
   /** Gives it up; its connection is closed, so that the endpoint stops work on it. */
   abort(): void {
-    this.#over = true;
+    this.#isOver = true;
     this.#running.abort();
   }
 
   onStart(): boolean {
-    this.#heldBack = !this.#options.listener.onStart();
-    return !this.#heldBack;
+    this.#wasHeldBack = !this.#options.listener.onStart();
+    return !this.#wasHeldBack;
   }
 
   /**
@@ -126,7 +126,7 @@
 
   onEnd(): void {
     const head = this.#head;
-    if (this.#over || head === null) {
+    if (this.#isOver || head === null) {
       return;
     }
     const raw = this.#raw;
@@ -140,18 +140,18 @@
     } else if (isNotRunStatus(head.status)) {
       // Passed on, it would promise the caller what the endpoint hasn't said.
       this.#fail('lost', `status ${head.status} without the word that it has not run`);
-    } else if (head.status >= FIRST_FAILURE || !head.sealed) {
+    } else if (head.status >= FIRST_ERROR_STATUS || !head.sealed) {
       this.#fail('failed', `status ${head.status}`, answer);
     } else {
-      this.#over = true;
+      this.#isOver = true;
       this.#options.listener.onWhole(answer);
     }
   }
 
   onError(err: Error, sent: boolean): void {
-    const begun = this.#head === null ? 'lost' : 'broken';
-    const unsent = this.#heldBack ? 'heldBack' : 'unsent';
-    this.#fail(sent ? begun : unsent, err.message, null, sent);
+    const failureAfterSend = this.#head === null ? 'lost' : 'broken';
+    const failureBeforeSend = this.#wasHeldBack ? 'heldBack' : 'unsent';
+    this.#fail(sent ? failureAfterSend : failureBeforeSend, err.message, null, sent);
   }
 
   get #isStream(): boolean {
@@ -162,7 +162,7 @@
   #passEvents(): void {
     const data = this.#chunks.length === 1 ? this.#chunks[0] : Buffer.concat(this.#chunks);
     const head = this.#head;
-    if (data === undefined || head === null || this.#over) {
+    if (data === undefined || head === null || this.#isOver) {
       return;
     }
     const { end } = findEvents(data);
@@ -177,7 +177,7 @@
       this.#fail('broken', 'the stream ended inside an event');
       return;
     }
-    this.#over = true;
+    this.#isOver = true;
     this.#options.listener.onStreamEnd(answer);
   }
 
@@ -185,9 +185,9 @@
     failure: DirectFailure,
     reason: string,
     answer: WholeAnswer | null = null,
-    connectionEnded = false,
+    connectionLost = false,
   ): void {
-    if (this.#over) {
+    if (this.#isOver) {
       return;
     }
     this.abort();
@@ -197,7 +197,7 @@
       answer,
       faultyInstance: answer?.head.faultyInstance ?? null,
       wrongInstance: answer?.head.wrongInstance ?? false,
-      connectionEnded,
+      connectionLost,
     });
   }
 }
--- a/src/daemon/direct/DirectRests.ts
+++ b/src/daemon/direct/DirectBackoffs.ts
@@ -3,16 +3,16 @@
 import { dropExpiredBackoffs, incarnationKeyOf, recordBackoff, type EndpointBackoff } from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
-import { DirectPaces } from './DirectPaces.js';
+import { DirectSendRates } from './DirectSendRates.js';
 
 /** Task of one entry process. */
-export class DirectRests extends DirectPaces<EndpointBackoff> {
+export class DirectBackoffs extends DirectSendRates<EndpointBackoff> {
   readonly #runtime: Pick<Runtime, 'now' | 'log' | 'registry'>;
 
   constructor(runtime: Pick<Runtime, 'now' | 'log' | 'registry'>) {
     super(runtime.now);
     this.#runtime = runtime;
-    const count = (): number => this.paces.size;
+    const count = (): number => this.rates.size;
     // eslint-disable-next-line no-new
     new Gauge({
       name: 'laburnumgauge_resting_endpoints',
@@ -32,16 +32,16 @@
     const { log, now } = this.#runtime;
     log.info({ event: 'rest', endpoint: endpoint.id, restMs, request }, 'an endpoint wants rest');
     if (restMs !== 'unreadable') {
-      this.replace(recordBackoff(this.paces, incarnationKeyOf(endpoint), restMs, now()));
+      this.replace(recordBackoff(this.rates, incarnationKeyOf(endpoint), restMs, now()));
     }
   }
 
   /** Whether an endpoint is at rest now. */
-  isResting(endpoint: MemberRecord): boolean {
-    return (this.paces.get(incarnationKeyOf(endpoint))?.until ?? -Infinity) > this.#runtime.now();
+  isBackedOff(endpoint: MemberRecord): boolean {
+    return (this.rates.get(incarnationKeyOf(endpoint))?.until ?? -Infinity) > this.#runtime.now();
   }
 
   tick(): void {
-    this.replace(dropExpiredBackoffs(this.paces, this.#runtime.now()));
+    this.replace(dropExpiredBackoffs(this.rates, this.#runtime.now()));
   }
 }
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -15,24 +15,24 @@
   type WholeAnswer,
 } from './DirectAttempt.js';
 import type { DirectEntryState } from './DirectEntryState.js';
-import { quarantined } from './DirectReply.js';
-import { placeRequestOf, type DirectOutcome, type DirectSpec } from './DirectSpec.js';
+import { quarantineError } from './DirectReply.js';
+import { slotRequestOf, type DirectOutcome, type DirectRequest } from './DirectRequest.js';
 
 /** An attempt with the endpoint that it went to. */
-interface Sent {
+interface RunningAttempt {
   readonly endpoint: MemberRecord;
   readonly attempt: DirectAttempt;
   /** Whether an event of it has come. */
-  readonly writes: boolean;
+  readonly hasEvents: boolean;
 }
 
 /** Runs one request to its end. */
 export class DirectCall {
   readonly #state: DirectEntryState;
 
-  readonly #spec: DirectSpec;
+  readonly #request: DirectRequest;
 
-  #sent: Sent | null = null;
+  #running: RunningAttempt | null = null;
 
   #sends = 0;
 
@@ -41,7 +41,7 @@
   readonly #tried: string[] = [];
 
   /** Endpoints that it was sent to, also before a wait. */
-  readonly #known = new Set<string>();
+  readonly #sentTo = new Set<string>();
 
   #mayHaveRun = false;
 
@@ -50,37 +50,37 @@
 
   #firstAt: number | null = null;
 
-  #eventsAt = 0;
+  #lastEventAt = 0;
 
   #longestPauseMs = 0;
 
   #timer: NodeJS.Timeout | null = null;
 
   /** Ends a wait for a place when the request is over. */
-  readonly #over = new AbortController();
+  readonly #waitAbort = new AbortController();
 
-  #finished: ((outcome: DirectOutcome) => void) | null = null;
+  #resolveOutcome: ((outcome: DirectOutcome) => void) | null = null;
 
-  constructor(state: DirectEntryState, spec: DirectSpec) {
+  constructor(state: DirectEntryState, request: DirectRequest) {
     this.#state = state;
-    this.#spec = spec;
+    this.#request = request;
   }
 
   /** Resolves once the caller has its answer, or is gone. */
   async run(): Promise<DirectOutcome> {
-    const { reply, deadline } = this.#spec;
+    const { reply, deadline } = this.#request;
     const done = new Promise<DirectOutcome>((resolve) => {
-      this.#finished = resolve;
+      this.#resolveOutcome = resolve;
     });
     const leftMs = Math.max(1, deadline - this.#state.now());
     this.#timer = setTimeout(() => this.#guard(() => this.#onDeadline()), leftMs);
-    const unregisterClose = reply.registerClose(() => this.#guard(() => this.#onCallerGone()));
-    const unregisterHeld = this.#state.registerHeld(this.#spec, () =>
-      this.#guard(() => this.#onHeld()),
+    const unregisterClose = reply.registerClose(() => this.#guard(() => this.#onCallerDisconnected()));
+    const unregisterQuarantineListener = this.#state.registerQuarantineListener(this.#request, () =>
+      this.#guard(() => this.#onQuarantined()),
     );
     this.#guard(() => this.#send());
     const outcome = await done;
-    unregisterHeld();
+    unregisterQuarantineListener();
     unregisterClose();
     clearTimeout(this.#timer);
     return outcome;
@@ -88,7 +88,7 @@
 
   /** Time to the first byte of the answer, ms; null where there was none. */
   get firstMs(): number | null {
-    return this.#firstAt === null ? null : this.#firstAt - this.#spec.startedAt;
+    return this.#firstAt === null ? null : this.#firstAt - this.#request.startedAt;
   }
 
   /** Longest pause between two events of its stream, ms; 0 where there was none. */
@@ -104,14 +104,14 @@
     return this.#sends + this.#unsent;
   }
 
-  get #isOver(): boolean {
-    return this.#finished === null;
+  get #isFinished(): boolean {
+    return this.#resolveOutcome === null;
   }
 
   #finish(outcome: DirectOutcome): void {
-    this.#finished?.(outcome);
-    this.#finished = null;
-    this.#over.abort();
+    this.#resolveOutcome?.(outcome);
+    this.#resolveOutcome = null;
+    this.#waitAbort.abort();
   }
 
   /** Runs a step that nobody awaits; a fault in it ends this request, not the process and every stream on it. */
@@ -124,26 +124,26 @@
   }
 
   #onFault(err: unknown): void {
-    const attempt = this.#sent?.attempt;
-    this.#state.requests.fault(this.#spec.head.id, err);
+    const attempt = this.#running?.attempt;
+    this.#state.requests.fault(this.#request.head.id, err);
     try {
-      this.#settle('cancelled');
-    } catch (settleErr) {
-      this.#state.requests.fault(this.#spec.head.id, settleErr);
+      this.#endAttempt('cancelled');
+    } catch (cleanupErr) {
+      this.#state.requests.fault(this.#request.head.id, cleanupErr);
     }
     attempt?.abort();
-    if (!this.#isOver) {
+    if (!this.#isFinished) {
       this.#fail();
     }
   }
 
   /** Waits for a place again, and sends the request anew, or refuses it with the time to come back. */
   async #waitAndSend(): Promise<void> {
-    const { service, head } = this.#spec;
+    const { service, head } = this.#request;
     const { admission } = this.#state;
     this.#tried.length = 0;
-    const verdict = await admission.acquire(placeRequestOf(this.#spec), this.#over.signal);
-    if (this.#isOver) {
+    const verdict = await admission.acquire(slotRequestOf(this.#request), this.#waitAbort.signal);
+    if (this.#isFinished) {
       if (verdict.granted) {
         admission.onUnused(service);
       }
@@ -167,7 +167,7 @@
 
   /** Refuses the request: it has not run. Without a time to come back the state's own is named. */
   #refuse(retryAfterMs: number | null): void {
-    const { reply, service, deadline } = this.#spec;
+    const { reply, service, deadline } = this.#request;
     const error = new RequestError('no_endpoint', 'no endpoint could take the request');
     const after = retryAfterMs ?? this.#state.retryAfter(service, deadline - this.#state.now());
     reply.refuse(error, after, this.#state.isLeaving);
@@ -178,17 +178,17 @@
    * Sends the request to an endpoint: the first time, again, after a wait or to go on with a stream. All of these
    * come by here, and here it is asked whether it may be sent at all. `turn` is an endpoint whose turn it has.
    */
-  #send(turn: MemberRecord | null = null): void {
-    const { service, route, head, customer, req, body, deadline } = this.#spec;
-    if (this.#state.isHeld(this.#spec)) {
+  #send(reservedEndpoint: MemberRecord | null = null): void {
+    const { service, route, head, customer, req, body, deadline } = this.#request;
+    if (this.#state.isQuarantined(this.#request)) {
       this.#state.admission.onUnused(service);
-      this.#hold();
+      this.#refuseQuarantined();
       return;
     }
-    const endpoint = turn ?? this.#state.route(service, head.id, this.#tried, this.attempts + 1);
+    const endpoint = reservedEndpoint ?? this.#state.route(service, head.id, this.#tried, this.attempts + 1);
     if (endpoint === null) {
       this.#state.admission.onUnused(service);
-      this.#awaitTurn();
+      this.#awaitSendSlot();
       return;
     }
     const { dialect } = this.#state;
@@ -201,10 +201,10 @@
     });
     this.#sends += 1;
     this.#tried.push(endpoint.id);
-    const isAgain = this.#known.has(endpoint.id);
+    const isRepeat = this.#sentTo.has(endpoint.id);
     this.#state.onSent(service, endpoint.id);
-    const { turns } = this.#state;
-    let mark = turns.limits.mark(endpoint);
+    const { sendSlots } = this.#state;
+    let limitTimestamp = sendSlots.limits.timestamp(endpoint);
     const attempt = new DirectAttempt({
       pool: this.#state.pool(endpoint),
       dialect,
@@ -215,65 +215,65 @@
         headers: raw,
         body: body.length === 0 ? null : body,
         // A late second answer to what was sent there before bears the same id.
-        isAlone: isAgain,
+        isAlone: isRepeat,
       },
       listener: {
         onStart: () => {
-          mark = turns.limits.mark(endpoint);
-          const starts = turns.start(endpoint, turn !== null);
-          if (starts) {
-            this.#known.add(endpoint.id);
+          limitTimestamp = sendSlots.limits.timestamp(endpoint);
+          const mayStart = sendSlots.start(endpoint, reservedEndpoint !== null);
+          if (mayStart) {
+            this.#sentTo.add(endpoint.id);
           }
-          return starts;
+          return mayStart;
         },
-        onHead: (answer) => this.#guard(() => turns.onAnswer(endpoint, answer, head.id, mark)),
+        onHead: (answer) => this.#guard(() => sendSlots.onAnswer(endpoint, answer, head.id, limitTimestamp)),
         onEvents: (bytes, answer) => this.#guard(() => this.#onEvents(bytes, answer)),
         onStreamEnd: (answer) => this.#guard(() => this.#onStreamEnd(answer)),
         onWhole: (answer) => this.#guard(() => this.#onAnswer(answer)),
         onFailure: (failure) => this.#guard(() => this.#onFailure(failure)),
       },
     });
-    this.#sent = { endpoint, attempt, writes: false };
+    this.#running = { endpoint, attempt, hasEvents: false };
   }
 
   /**
    * No endpoint takes the request now. It waits for its turn at one with a limit or at rest, if that comes while its
    * caller waits; else it is refused at once with the time of the next turn.
    */
-  #awaitTurn(): void {
-    const { service, route, head, startedAt, deadline } = this.#spec;
+  #awaitSendSlot(): void {
+    const { service, route, head, startedAt, deadline } = this.#request;
     const until = Math.min(startedAt + route.patienceMs, deadline - MIN_RETRY_TIME_MS);
-    const turn = this.#state.takeTurn(service, this.#tried, until - this.#state.now());
-    const nextMs = turn?.waitMs ?? this.#state.nextTurnMs(service, this.#tried);
+    const sendSlot = this.#state.reserveSendSlot(service, this.#tried, until - this.#state.now());
+    const nextMs = sendSlot?.waitMs ?? this.#state.nextSendSlotMs(service, this.#tried);
     if (nextMs !== null) {
-      this.#state.requests.turn(head.id, turn?.endpoint.id ?? null, nextMs);
+      this.#state.requests.sendSlotWait(head.id, sendSlot?.endpoint.id ?? null, nextMs);
     }
-    if (turn === null) {
-      if (nextMs === null || this.#spec.reply.begun || this.#mayHaveRun) {
-        this.#conclude(this.#spec.reply.begun ? 'cut' : this.#hopeless, null);
+    if (sendSlot === null) {
+      if (nextMs === null || this.#request.reply.streamStarted || this.#mayHaveRun) {
+        this.#conclude(this.#request.reply.streamStarted ? 'cut' : this.#finalVerdict, null);
       } else {
         this.#refuse(nextMs);
       }
       return;
     }
-    delay(turn.waitMs, undefined, { signal: this.#over.signal })
+    delay(sendSlot.waitMs, undefined, { signal: this.#waitAbort.signal })
       .then(() =>
-        this.#guard(() => this.#send(this.#state.turns.isServing(turn) ? turn.endpoint : null)),
+        this.#guard(() => this.#send(this.#state.sendSlots.isServing(sendSlot) ? sendSlot.endpoint : null)),
       )
       // The request is over, and its turn is lost.
       .catch(() => undefined);
   }
 
   /** Answers a request that must be sent to no endpoint any more. */
-  #hold(): void {
-    this.#state.screening.logQuarantined(this.#spec.identity, this.#spec.head.id);
-    if (this.#spec.reply.begun || this.#mayHaveRun) {
-      this.#conclude(this.#spec.reply.begun ? 'cut' : 'fail', null);
+  #refuseQuarantined(): void {
+    this.#state.screening.logQuarantined(this.#request.identity, this.#request.head.id);
+    if (this.#request.reply.streamStarted || this.#mayHaveRun) {
+      this.#conclude(this.#request.reply.streamStarted ? 'cut' : 'fail', null);
       return;
     }
-    const { reply, identity } = this.#spec;
-    const heldForMs = this.#state.screening.quarantinedForMs(identity);
-    reply.refuse(quarantined(), heldForMs, this.#state.isLeaving);
+    const { reply, identity } = this.#request;
+    const quarantinedForMs = this.#state.screening.quarantinedForMs(identity);
+    reply.refuse(quarantineError(), quarantinedForMs, this.#state.isLeaving);
     this.#finish('quarantined');
   }
 
@@ -282,38 +282,38 @@
    * sent and hasn't begun to answer is taken back, which may save the group. One at a single endpoint is left: if it
    * is answered whole, the news was wrong.
    */
-  #onHeld(): void {
+  #onQuarantined(): void {
     const { admission } = this.#state;
-    const isSent = this.#sent !== null;
+    const isSent = this.#running !== null;
     if (
-      this.#isOver ||
-      this.#spec.reply.begun ||
-      (isSent && !admission.hasGroups(this.#spec.service))
+      this.#isFinished ||
+      this.#request.reply.streamStarted ||
+      (isSent && !admission.hasGroups(this.#request.service))
     ) {
       return;
     }
     this.#mayHaveRun ||= isSent;
-    this.#settle('cancelled');
-    this.#hold();
+    this.#endAttempt('cancelled');
+    this.#refuseQuarantined();
   }
 
   /** Without an endpoint left: refused if nothing can have run, failed otherwise. */
-  get #hopeless(): DirectVerdict {
+  get #finalVerdict(): DirectVerdict {
     return this.#mayHaveRun ? 'fail' : 'refuse';
   }
 
   /** Ends the running attempt, if there is one. */
-  #settle(result: 'whole' | 'refused' | 'failed' | 'cancelled'): void {
-    const sent = this.#sent;
-    this.#sent = null;
+  #endAttempt(result: 'whole' | 'refused' | 'failed' | 'cancelled'): void {
+    const sent = this.#running;
+    this.#running = null;
     if (sent !== null) {
       const { admission } = this.#state;
-      if (sent.writes) {
-        admission.onStreamOver(sent.endpoint.id);
+      if (sent.hasEvents) {
+        admission.onStreamFinished(sent.endpoint.id);
       } else {
-        admission.onUnanswered(this.#spec.service, sent.endpoint.id, result === 'cancelled');
+        admission.onUnanswered(this.#request.service, sent.endpoint.id, result === 'cancelled');
       }
-      this.#state.onDone(this.#spec.service, sent.endpoint.id, result);
+      this.#state.onDone(this.#request.service, sent.endpoint.id, result);
       if (result === 'cancelled') {
         sent.attempt.abort();
       }
@@ -321,35 +321,35 @@
   }
 
   #onEvents(bytes: Buffer, answer: AttemptHead): void {
-    if (this.#isOver) {
+    if (this.#isFinished) {
       return;
     }
     const now = this.#state.now();
-    this.#onWriting();
-    if (this.#spec.reply.begun) {
-      this.#longestPauseMs = Math.max(this.#longestPauseMs, now - this.#eventsAt);
+    this.#onStreaming();
+    if (this.#request.reply.streamStarted) {
+      this.#longestPauseMs = Math.max(this.#longestPauseMs, now - this.#lastEventAt);
     }
-    this.#begin(answer);
-    this.#eventsAt = now;
+    this.#beginReply(answer);
+    this.#lastEventAt = now;
     const last = this.#state.lastEvent(bytes);
     if (last !== null) {
       this.#lastEvent = last.id;
     }
-    this.#spec.reply.passEvents(bytes);
+    this.#request.reply.passEvents(bytes);
   }
 
   /** The endpoint of the running attempt has answered with a stream: it is neither silent nor stands still. */
-  #onWriting(): void {
-    if (this.#sent !== null) {
-      this.#state.admission.onEvent(this.#sent.endpoint.id, !this.#sent.writes);
-      this.#sent = { ...this.#sent, writes: true };
+  #onStreaming(): void {
+    if (this.#running !== null) {
+      this.#state.admission.onEvent(this.#running.endpoint.id, !this.#running.hasEvents);
+      this.#running = { ...this.#running, hasEvents: true };
     }
   }
 
   /** Passes the head of a stream on, unless the caller has that of an earlier attempt. */
-  #begin({ head, raw }: AttemptHead): void {
-    const { reply } = this.#spec;
-    if (!reply.begun) {
+  #beginReply({ head, raw }: AttemptHead): void {
+    const { reply } = this.#request;
+    if (!reply.streamStarted) {
       reply.begin({ status: head.status, headers: this.#state.answerHeaders(raw) });
       this.#firstAt = this.#state.now();
     }
@@ -357,20 +357,20 @@
 
   /** A stream has ended; one that had no event left, as after its last one, has only a head. */
   #onStreamEnd(answer: AttemptHead): void {
-    this.#onWriting();
-    this.#settle('whole');
-    this.#state.screening.onAnswered(this.#spec.identity);
-    if (this.#isOver) {
+    this.#onStreaming();
+    this.#endAttempt('whole');
+    this.#state.screening.onAnswered(this.#request.identity);
+    if (this.#isFinished) {
       return;
     }
-    this.#begin(answer);
-    this.#spec.reply.endStream();
+    this.#beginReply(answer);
+    this.#request.reply.endStream();
     this.#finish('whole');
   }
 
   /** What should go on with a stream and is none can't be joined to it. */
   #onAnswer(answer: WholeAnswer): void {
-    if (!this.#spec.reply.begun) {
+    if (!this.#request.reply.streamStarted) {
       this.#onWhole(answer, 'whole');
       return;
     }
@@ -380,21 +380,21 @@
       answer: null,
       faultyInstance: null,
       wrongInstance: false,
-      connectionEnded: false,
+      connectionLost: false,
     });
   }
 
   #onWhole(answer: WholeAnswer, outcome: DirectOutcome): void {
-    this.#settle('whole');
+    this.#endAttempt('whole');
     if (outcome === 'whole') {
-      this.#state.screening.onAnswered(this.#spec.identity);
+      this.#state.screening.onAnswered(this.#request.identity);
     }
-    if (this.#isOver) {
+    if (this.#isFinished) {
       return;
     }
     this.#firstAt = this.#state.now();
     const { head, raw } = answer;
-    this.#spec.reply.passWhole(
+    this.#request.reply.passWhole(
       { status: head.status, headers: this.#state.answerHeaders(raw) },
       answer,
     );
@@ -402,14 +402,14 @@
   }
 
   #progress(): DirectProgress {
-    const { route, service, deadline } = this.#spec;
+    const { route, service, deadline } = this.#request;
     const isStream = route.kind === 'stream';
     return {
       repeatable: route.kind === 'idempotent' || (isStream && route.resumable),
       sendCount: this.#sends,
       maxSends: route.maxAttempts,
       mayHaveRun: this.#mayHaveRun,
-      responseStarted: this.#spec.reply.begun,
+      responseStarted: this.#request.reply.streamStarted,
       canResume: isStream && route.resumable && this.#lastEvent !== null,
       isServiceDown: this.#state.admission.isClosed(service),
       remainingMs: deadline - this.#state.now(),
@@ -418,9 +418,9 @@
 
   #onFailure(failed: AttemptFailure): void {
     const { failure } = failed;
-    const endpoint = this.#sent?.endpoint;
-    this.#settle(failure === 'notRun' || failure === 'heldBack' ? 'refused' : 'failed');
-    if (this.#isOver || endpoint === undefined) {
+    const endpoint = this.#running?.endpoint;
+    this.#endAttempt(failure === 'notRun' || failure === 'heldBack' ? 'refused' : 'failed');
+    if (this.#isFinished || endpoint === undefined) {
       return;
     }
     if (isUnsent(failure)) {
@@ -430,24 +430,24 @@
       this.#mayHaveRun = true;
     }
     this.#state.onAttemptFailed(endpoint, failed);
-    if (!failed.connectionEnded) {
-      this.#judge(endpoint, failed);
+    if (!failed.connectionLost) {
+      this.#decideNext(endpoint, failed);
       return;
     }
     // Whether the endpoint has ended must be known before the request is sent to another.
     this.#state
-      .onConnectionEnded(endpoint, this.#spec)
-      .catch((err: unknown) => this.#state.requests.fault(this.#spec.head.id, err))
+      .onConnectionLost(endpoint, this.#request)
+      .catch((err: unknown) => this.#state.requests.fault(this.#request.head.id, err))
       .finally(() => {
-        if (!this.#isOver) {
-          this.#guard(() => this.#judge(endpoint, failed));
+        if (!this.#isFinished) {
+          this.#guard(() => this.#decideNext(endpoint, failed));
         }
       });
   }
 
   /** Decides what follows a failed attempt. */
-  #judge(endpoint: MemberRecord, { failure, reason, answer }: AttemptFailure): void {
-    const { service, head } = this.#spec;
+  #decideNext(endpoint: MemberRecord, { failure, reason, answer }: AttemptFailure): void {
+    const { service, head } = this.#request;
     const verdict = judgeFailure(
       failure,
       this.#progress(),
@@ -463,8 +463,8 @@
       retry: () => this.#send(),
       wait: () => {
         this.#waitAndSend().catch((err: unknown) => {
-          this.#state.requests.fault(this.#spec.head.id, err);
-          this.#guard(() => this.#conclude(this.#hopeless, null));
+          this.#state.requests.fault(this.#request.head.id, err);
+          this.#guard(() => this.#conclude(this.#finalVerdict, null));
         });
       },
       pass: () => {
@@ -475,7 +475,7 @@
       refuse: () => this.#refuse(null),
       fail: () => this.#fail(),
       cut: () => {
-        this.#spec.reply.cut();
+        this.#request.reply.cut();
         this.#finish('cut');
       },
     };
@@ -484,8 +484,8 @@
 
   /** Ends the request without an answer of an endpoint; nobody can tell whether it has run. */
   #fail(): void {
-    const { reply } = this.#spec;
-    if (reply.begun) {
+    const { reply } = this.#request;
+    if (reply.streamStarted) {
       reply.cut();
     } else {
       const error = new RequestError(
@@ -498,13 +498,13 @@
   }
 
   #onDeadline(): void {
-    if (this.#isOver) {
+    if (this.#isFinished) {
       return;
     }
-    const wasSent = this.#sent !== null || this.#mayHaveRun;
-    this.#settle('cancelled');
-    const { reply } = this.#spec;
-    if (reply.begun) {
+    const wasSent = this.#running !== null || this.#mayHaveRun;
+    this.#endAttempt('cancelled');
+    const { reply } = this.#request;
+    if (reply.streamStarted) {
       reply.cut();
     } else {
       const error = new RequestError(
@@ -518,9 +518,9 @@
   }
 
   /** The endpoint must stop work on what nobody waits for. */
-  #onCallerGone(): void {
-    if (!this.#isOver) {
-      this.#settle('cancelled');
+  #onCallerDisconnected(): void {
+    if (!this.#isFinished) {
+      this.#endAttempt('cancelled');
       this.#finish('callerGone');
     }
   }
--- a/src/daemon/direct/DirectConnections.ts
+++ b/src/daemon/direct/DirectCallerConnections.ts
@@ -12,14 +12,14 @@
 const BAD_REQUEST = '400 Bad Request';
 
 /** Code of the parser's error where the caller has ended its side in the middle of a request. */
-const CALLER_ENDED = 'HPE_INVALID_EOF_STATE';
+const UNEXPECTED_EOF = 'HPE_INVALID_EOF_STATE';
 
 /** One connection. */
 interface Connection {
   /** Requests that aren't answered yet. */
   readonly open: Set<IncomingMessage>;
   /** Whether nothing more can be read on it. */
-  isSpoilt: boolean;
+  isUnreadable: boolean;
 }
 
 /** Answers as the HTTP server itself does. */
@@ -31,7 +31,7 @@
 }
 
 /** Whether a request of it was read whole: the next answer on it is that request's own. */
-function hasRunning({ open }: Connection): boolean {
+function hasCompleteRequest({ open }: Connection): boolean {
   return [...open].some(({ complete }) => complete);
 }
 
@@ -40,7 +40,7 @@
  * would stand where the answer to that is due. Such a connection takes nothing more, and ends once all that was read
  * whole is answered.
  */
-export class DirectConnections {
+export class DirectCallerConnections {
   readonly #connections = new WeakMap<Duplex, Connection>();
 
   constructor(server: Server) {
@@ -51,12 +51,12 @@
 
   onRequest(req: IncomingMessage, res: ServerResponse): void {
     const { socket } = req;
-    const connection = this.#connections.get(socket) ?? { open: new Set(), isSpoilt: false };
+    const connection = this.#connections.get(socket) ?? { open: new Set(), isUnreadable: false };
     this.#connections.set(socket, connection);
     connection.open.add(req);
     res.once('close', () => {
       connection.open.delete(req);
-      if (connection.isSpoilt && !hasRunning(connection)) {
+      if (connection.isUnreadable && !hasCompleteRequest(connection)) {
         socket.destroySoon();
       }
     });
@@ -64,12 +64,12 @@
 
   #onBadInput(code: string, socket: Duplex): void {
     const connection = this.#connections.get(socket);
-    if (connection === undefined || !hasRunning(connection)) {
+    if (connection === undefined || !hasCompleteRequest(connection)) {
       refuse(code, socket);
-    } else if (code === CALLER_ENDED || !socket.writable) {
+    } else if (code === UNEXPECTED_EOF || !socket.writable) {
       socket.destroy();
     } else {
-      connection.isSpoilt = true;
+      connection.isUnreadable = true;
     }
   }
 }
--- a/src/daemon/direct/DirectConfigWatch.ts
+++ b/src/daemon/direct/DirectConfigWatch.ts
@@ -8,22 +8,22 @@
 import type { Runtime } from '../DaemonRuntime.js';
 
 /** How often the newest configuration is asked for: several times within the shortest lease. In ms. */
-const ASK_MS = 700;
+const POLL_INTERVAL_MS = 700;
 
 /**
  * Beside a hub that gives no sign of life for this long another is looked for: a hundred round trips between
  * AZs, and a change must be in force within 2 s of its acknowledgement though the hub froze right before. In ms.
  */
-const SILENT_HUB_MS = 300;
+const HUB_PING_TIMEOUT_MS = 300;
 
 /** A question without an answer for this long is given up. In ms. */
-const ASK_TIMEOUT_MS = 900;
+const POLL_TIMEOUT_MS = 900;
 
 /** After questions have failed this often in a row another hub is looked for. */
-const MOST_FAILURES = 2;
+const MAX_FAILURES = 2;
 
 /** A change that is named this often and doesn't come is asked for again, and later of another hub. */
-const ASK_AGAIN_AFTER = 2;
+const RESEND_AFTER = 2;
 const SEARCH_AFTER = 4;
 
 /** What the watch needs of the link to the hub. */
@@ -55,11 +55,11 @@
   #failures = 0;
 
   /** Answers in a row that named a configuration that isn't held. */
-  #behind = 0;
+  #behindCount = 0;
 
-  #asking = false;
+  #isPolling = false;
 
-  #askedAt = -Infinity;
+  #polledAt = -Infinity;
 
   constructor(options: ConfigWatchOptions) {
     this.#options = options;
@@ -72,29 +72,29 @@
    * handled by the older one for as long as the lease on it runs. Enough: another hub is looked for beside
    * one that gives no sign of life, or can't tell after two questions; it has the newest.
    */
-  ask(): void {
+  poll(): void {
     const { hub, runtime } = this.#options;
     const now = runtime.now();
-    if (this.#asking || !hub.isAttached || now - this.#askedAt < ASK_MS) {
+    if (this.#isPolling || !hub.isAttached || now - this.#polledAt < POLL_INTERVAL_MS) {
       return;
     }
-    this.#askedAt = now;
-    this.#asking = true;
+    this.#polledAt = now;
+    this.#isPolling = true;
     const askedAt = runtime.clocks();
     this.#checkHub();
     hub
-      .request('config.newest', {}, ASK_TIMEOUT_MS)
+      .request('config.newest', {}, POLL_TIMEOUT_MS)
       .then((index) => this.#onAnswer(index as number, askedAt))
       .catch((err: unknown) => this.#onFailure(err as Error))
       .finally(() => {
-        this.#asking = false;
+        this.#isPolling = false;
       });
   }
 
   /** A hub whose leader is gone takes long for its answer but is alive: leaving it would gain nothing. */
   #checkHub(): void {
     const { hub, runtime } = this.#options;
-    hub.ping(SILENT_HUB_MS).catch((err: unknown) => {
+    hub.ping(HUB_PING_TIMEOUT_MS).catch((err: unknown) => {
       if (err instanceof LinkTimeoutError) {
         runtime.log.warn({ event: 'silent_hub', err: err.message }, 'another hub is looked for');
         hub.searchOther();
@@ -106,7 +106,7 @@
     const { hub, onNewest } = this.#options;
     this.#failures = 0;
     if (onNewest(index, askedAt)) {
-      this.#behind = 0;
+      this.#behindCount = 0;
       hub.endSearch();
       return;
     }
@@ -120,16 +120,16 @@
    */
   #onBehind(index: number): void {
     const { hub, runtime } = this.#options;
-    this.#askedAt = -Infinity;
+    this.#polledAt = -Infinity;
     if (hub.isReceiving) {
       return;
     }
-    this.#behind += 1;
-    if (this.#behind === ASK_AGAIN_AFTER) {
+    this.#behindCount += 1;
+    if (this.#behindCount === RESEND_AFTER) {
       runtime.log.warn({ event: 'behind', newest: index }, 'a change is asked for again');
       hub.requestConfigResend();
-    } else if (this.#behind >= SEARCH_AFTER) {
-      this.#behind = 0;
+    } else if (this.#behindCount >= SEARCH_AFTER) {
+      this.#behindCount = 0;
       runtime.log.warn({ event: 'behind', newest: index }, 'another hub is looked for');
       hub.searchOther();
     }
@@ -139,12 +139,12 @@
   #onFailure(err: Error): void {
     const { hub, runtime } = this.#options;
     this.#failures += 1;
-    this.#askedAt = -Infinity;
+    this.#polledAt = -Infinity;
     runtime.log.warn(
       { event: 'unproven', failures: this.#failures, err: err.message },
       'newest configuration not confirmed',
     );
-    if (err instanceof LinkTimeoutError || this.#failures >= MOST_FAILURES) {
+    if (err instanceof LinkTimeoutError || this.#failures >= MAX_FAILURES) {
       this.#failures = 0;
       hub.searchOther();
     }
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -33,17 +33,17 @@
 import type { GroupLoad, GroupMap, RankReport } from '../../protocol/index.js';
 import type { DaemonCoordinator } from '../DaemonCoordinator.js';
 import type { Runtime } from '../DaemonRuntime.js';
-import type { GroupOutlook } from './DirectRank.js';
+import type { GroupForecast } from './DirectRank.js';
 import type { DirectRankPeers } from './DirectRankPeers.js';
 
 /** What limits a change of map. */
-export interface MapTerms {
+export interface MapLimits {
   readonly shape: MapShape;
   readonly policy: MapPolicy;
   /** Longest pause between two events of a stream that is on time, ms. */
   readonly pauseMs: number;
   /** Experts over all sets: what a rank's counts hold. */
-  readonly expertsInAll: number;
+  readonly totalExperts: number;
 }
 
 /** What the task needs. */
@@ -55,38 +55,38 @@
   readonly peers: DirectRankPeers;
   readonly runtime: Runtime;
   /** Shape of maps and what a change must be worth; null until a configuration says. */
-  readonly policy: () => MapTerms | null;
+  readonly mapLimits: () => MapLimits | null;
   /** Ranks whose processes may coordinate the group. */
   readonly isCandidate: (rank: number) => boolean;
   /** What another coordinator expected after this process had that token. */
-  readonly outlookSince: (token: number) => GroupOutlook | null;
+  readonly forecastSince: (token: number) => GroupForecast | null;
   /** Tells the entry processes of the group's load. */
   readonly publish: (load: GroupLoad) => void;
 }
 
 /** How often counts are read: a few hundred thousand choices at the usual rate. In ms. */
-const COUNTS_MS = 250;
+const COUNTS_INTERVAL_MS = 250;
 
 /** An older report tells nothing of whether the group is open, ms. */
-const FRESH_REPORT_MS = 700;
+const REPORT_MAX_AGE_MS = 700;
 
 /** Counts that take longer than this to come are left to the next round, ms. */
-const ROUND_MS = 80;
+const ROUND_TIMEOUT_MS = 80;
 
 /** How often reports are read while a change is under way, ms. */
-const REPORT_MS = 60;
+const REPORT_INTERVAL_MS = 60;
 
 /** How often unfinished orders are looked at, ms. */
 export const COORDINATOR_TICK_MS = 20;
 
 /** Version of the map that a group has when it forms anew. */
-const FIRST_MAP = 0;
+const FIRST_MAP_VERSION = 0;
 
 /**
  * A change that takes less off the skew than this isn't worth its time: it keeps the group busy for half a
  * second, in which a shift of demand can't be answered, and shortens passes by some 2 ms.
  */
-const LEAST_GAIN = 0.1;
+const MIN_GAIN = 0.1;
 
 /** Coordinator of one group. */
 export class DirectCoordinator {
@@ -110,14 +110,14 @@
   #counts: (ExpertCounts | null)[];
 
   /** Ranks that have answered with counts in this round. */
-  #counted = new Set<number>();
+  #countedInRound = new Set<number>();
 
   #reports: (RankReport | null)[];
 
   /** Newest report of any rank, of the newest epoch, and when it came. */
-  #newest: RankReport | null = null;
+  #newestReport: RankReport | null = null;
 
-  #newestAt = -Infinity;
+  #newestReportAt = -Infinity;
 
   #publishedOpen = false;
 
@@ -126,7 +126,7 @@
   #countsAt = 0;
 
   /** Ranks whose counts of this round are still to come. */
-  #awaited = new Set<number>();
+  #awaitedInRound = new Set<number>();
 
   readonly #stages = new MapStages();
 
@@ -145,7 +145,7 @@
   #plannedShifts = 0;
 
   /** Sent to the other candidates with the next round of counts; null where nothing was seen yet. */
-  #outlook: GroupOutlook | null = null;
+  #forecast: GroupForecast | null = null;
 
   constructor(options: DirectCoordinatorOptions) {
     this.#options = options;
@@ -185,79 +185,79 @@
       return;
     }
     const now = this.#options.runtime.now();
-    const dueCounts = now - this.#countsAt >= COUNTS_MS;
-    if (dueCounts) {
+    const areCountsDue = now - this.#countsAt >= COUNTS_INTERVAL_MS;
+    if (areCountsDue) {
       this.#countsAt = now;
-      this.#counted.clear();
-      this.#awaited = new Set(this.#toCount);
-    } else if (this.#awaited.size > 0 && now - this.#countsAt >= ROUND_MS) {
+      this.#countedInRound.clear();
+      this.#awaitedInRound = new Set(this.#ranksToCount);
+    } else if (this.#awaitedInRound.size > 0 && now - this.#countsAt >= ROUND_TIMEOUT_MS) {
       this.#endRound();
     }
     this.#askedAt.forEach((askedAt, rank) => {
-      const waits = this.#map === null || awaitsReport(this.#switch, rank);
-      const dueReport = waits && askedAt !== null && now - askedAt >= REPORT_MS;
-      if (dueCounts || dueReport || askedAt === null) {
-        this.#ask(rank, dueCounts, now);
+      const awaitsRank = this.#map === null || awaitsReport(this.#switch, rank);
+      const isReportDue = awaitsRank && askedAt !== null && now - askedAt >= REPORT_INTERVAL_MS;
+      if (areCountsDue || isReportDue || askedAt === null) {
+        this.#ask(rank, areCountsDue, now);
       }
     });
     this.#input({ type: 'tick' });
   }
 
   /** Ranks whose counts are read: all of a small group, a part of a large one. */
-  get #toCount(): ReadonlySet<number> {
-    const terms = this.#options.policy();
-    return sampledRanks(this.#options.ranks, terms?.expertsInAll ?? 0);
+  get #ranksToCount(): ReadonlySet<number> {
+    const limits = this.#options.mapLimits();
+    return sampledRanks(this.#options.ranks, limits?.totalExperts ?? 0);
   }
 
   #followLease(): void {
     const { lease, runtime } = this.#options;
     const view = lease.lease;
-    const holds = mayCoordinate(view, runtime.now());
+    const holdsLease = mayCoordinate(view, runtime.now());
     const token = view.held?.token ?? 0;
-    if (holds && this.#switch.token !== token) {
-      this.#adopt(token);
+    if (holdsLease && this.#switch.token !== token) {
+      this.#adoptForecast(token);
       this.#map = null;
-      this.#options.peers.begin();
+      this.#options.peers.resetTimeouts();
       this.#input({ type: 'gained', token });
-    } else if (!holds && this.#switch.phase !== 'off') {
+    } else if (!holdsLease && this.#switch.phase !== 'off') {
       this.#input({ type: 'lost' });
       this.#switch = { ...this.#switch, token: 0 };
     }
   }
 
   /** Takes over what another coordinator has seen since this process last was one. */
-  #adopt(token: number): void {
-    const outlook = this.#options.outlookSince(this.#lastToken);
+  #adoptForecast(token: number): void {
+    const forecast = this.#options.forecastSince(this.#lastToken);
     this.#lastToken = token;
-    if (outlook !== null) {
-      this.#demand = adoptDemand(this.#demand, outlook.demand);
-      this.#firstSkew = outlook.firstSkew;
+    if (forecast !== null) {
+      this.#demand = adoptDemand(this.#demand, forecast.demand);
+      this.#firstSkew = forecast.firstSkew;
     }
   }
 
   #ask(rank: number, isRound: boolean, now: number): void {
     const { isCandidate, own, peers } = this.#options;
     const { token } = this.#switch;
-    const withCounts = isRound && this.#awaited.has(rank);
+    const withCounts = isRound && this.#awaitedInRound.has(rank);
     const withExperts = this.#map === null;
-    const tells = isRound && rank !== own && isCandidate(rank);
-    const outlook = tells ? this.#outlook : null;
+    const sendsForecast = isRound && rank !== own && isCandidate(rank);
+    const forecast = sendsForecast ? this.#forecast : null;
     this.#askedAt[rank] = now;
     peers
-      .ask(rank, { token, withCounts, withExperts, outlook })
+      .ask(rank, { token, withCounts, withExperts, outlook: forecast })
       .then((reply) => {
         if (reply.fenced || token !== this.#switch.token) {
           return;
         }
         if (reply.counts !== null) {
           this.#counts[rank] = addIncrements(this.#counts[rank] ?? null, reply.counts);
-          this.#counted.add(rank);
+          this.#countedInRound.add(rank);
         }
         if (reply.experts !== null) {
           this.#onExperts(rank, reply.report.epoch, reply.experts);
         }
         this.#onReport(rank, reply.report);
-        if (withCounts && this.#awaited.delete(rank) && this.#awaited.size === 0) {
+        if (withCounts && this.#awaitedInRound.delete(rank) && this.#awaitedInRound.size === 0) {
           this.#endRound();
         }
       })
@@ -289,15 +289,15 @@
 
   #onReport(rank: number, report: RankReport): void {
     this.#reports[rank] = report;
-    if (this.#newest === null || report.epoch >= this.#newest.epoch) {
-      this.#newest = report;
-      this.#newestAt = this.#options.runtime.now();
+    if (this.#newestReport === null || report.epoch >= this.#newestReport.epoch) {
+      this.#newestReport = report;
+      this.#newestReportAt = this.#options.runtime.now();
     }
     if (rank === this.#options.own) {
       this.#passes = observeReport(this.#passes, report, this.#options.runtime.now());
     }
     this.#input({ type: 'report', rank, report });
-    this.#planAnew();
+    this.#planIfDue();
     // Told at once: callers wait at the entry hosts, and lose their last try within a second or two.
     if (this.#isOpen !== this.#publishedOpen) {
       this.#publish();
@@ -306,11 +306,11 @@
 
   /** Whether the group answers, by the newest report of any rank: all ranks tell of the whole group. */
   get #isOpen(): boolean {
-    return this.#newest !== null && this.#newest.open && !this.#isStalled;
+    return this.#newestReport !== null && this.#newestReport.open && !this.#isStalled;
   }
 
   get #usesFirstMap(): boolean {
-    return this.#newest?.mapVersion === FIRST_MAP;
+    return this.#newestReport?.mapVersion === FIRST_MAP_VERSION;
   }
 
   get #isStalled(): boolean {
@@ -319,8 +319,8 @@
 
   /** All ranks have answered, or those that haven't are late: works with what is there. */
   #endRound(): void {
-    this.#awaited.clear();
-    const counts = this.#counts.map((item, rank) => (this.#counted.has(rank) ? item : null));
+    this.#awaitedInRound.clear();
+    const counts = this.#counts.map((item, rank) => (this.#countedInRound.has(rank) ? item : null));
     this.#demand = recordCounts(this.#demand, counts);
     this.#publish();
     this.#plan();
@@ -328,9 +328,9 @@
 
   #publish(): void {
     const { group, publish } = this.#options;
-    const active = this.#known(({ active: writers }) => writers);
-    const queued = this.#known(({ queued: waiting }) => waiting);
-    if (this.#newest === null || this.#options.runtime.now() - this.#newestAt > FRESH_REPORT_MS) {
+    const active = this.#valuePerRank(({ active: activeStreams }) => activeStreams);
+    const queued = this.#valuePerRank(({ queued: queuedRequests }) => queuedRequests);
+    if (this.#newestReport === null || this.#options.runtime.now() - this.#newestReportAt > REPORT_MAX_AGE_MS) {
       return;
     }
     this.#publishedOpen = this.#isOpen;
@@ -339,14 +339,14 @@
       open: this.#publishedOpen,
       active,
       queued,
-      slow: slowRanks(this.#paces),
+      slow: slowRanks(this.#slowdowns),
       passMs: this.#passes.passMs,
       skew: this.#skew,
     });
   }
 
   /** Plans before the next counts where those at hand tell something new. */
-  #planAnew(): void {
+  #planIfDue(): void {
     const now = this.#options.runtime.now();
     const isDue = isPlanDue({
       plannedMsAgo: now - this.#plannedAt,
@@ -365,43 +365,43 @@
    * Failure: a new coordinator has heard a few ranks yet. Symptom: with nothing for the others, the group
    * looks empty, and many times its places are given. Enough: ranks of a group run alike.
    */
-  #known(figureOf: (report: RankReport) => number): readonly number[] {
-    const figures = this.#reports.flatMap((report) => (report === null ? [] : [figureOf(report)]));
-    const mean = figures.reduce((sum, figure) => sum + figure, 0) / Math.max(1, figures.length);
-    return this.#reports.map((report) => (report === null ? mean : figureOf(report)));
+  #valuePerRank(valueOf: (report: RankReport) => number): readonly number[] {
+    const values = this.#reports.flatMap((report) => (report === null ? [] : [valueOf(report)]));
+    const mean = values.reduce((sum, figure) => sum + figure, 0) / Math.max(1, values.length);
+    return this.#reports.map((report) => (report === null ? mean : valueOf(report)));
   }
 
   /** How many times the usual time each rank takes. */
-  get #paces(): readonly number[] {
+  get #slowdowns(): readonly number[] {
     return this.#reports.map((report) => report?.pace ?? 1);
   }
 
   #plan(): void {
-    const { policy, runtime } = this.#options;
-    const limits = policy();
+    const { mapLimits, runtime } = this.#options;
+    const limits = mapLimits();
     const weights = expectedLoad(this.#demand);
     if (limits === null || weights === null || this.#map === null) {
       return;
     }
-    const begun = runtime.now();
+    const planStartedAt = runtime.now();
     const isFirst = this.#plannedAt < this.#resetAt && this.#usesFirstMap;
-    this.#plannedAt = begun;
-    const wanted = this.#switch.phase === 'idle' ? this.#wanted(limits) : null;
-    const adjusted = { ...limits.policy, gainPerCopy: wanted ?? Infinity };
-    const planned = planMap(this.#map, weights, limits.shape, adjusted, this.#paces);
+    this.#plannedAt = planStartedAt;
+    const minGainPerCopy = this.#switch.phase === 'idle' ? this.#minGainPerCopy(limits) : null;
+    const adjustedPolicy = { ...limits.policy, gainPerCopy: minGainPerCopy ?? Infinity };
+    const planned = planMap(this.#map, weights, limits.shape, adjustedPolicy, this.#slowdowns);
     this.#skew = planned.skewBefore;
-    this.#stages.onCounts(this.#skew, begun - this.#countsAt, begun);
+    this.#stages.onCounts(this.#skew, planStartedAt - this.#countsAt, planStartedAt);
     this.#firstSkew = isFirst ? planned.skewBefore : this.#firstSkew;
-    this.#outlook = { demand: packDemand(weights), firstSkew: this.#firstSkew };
+    this.#forecast = { demand: packDemand(weights), firstSkew: this.#firstSkew };
     if (this.#switch.phase !== 'idle') {
       return;
     }
     this.#plannedShifts = this.#demand.shifts;
     const gain = planned.skewBefore - planned.skewAfter;
-    if (planned.copies === 0 || gain < LEAST_GAIN) {
+    if (planned.copies === 0 || gain < MIN_GAIN) {
       return;
     }
-    const planMs = runtime.now() - begun;
+    const planMs = runtime.now() - planStartedAt;
     this.#stages.onPlan(planMs, runtime.now());
     runtime.log.info(
       {
@@ -422,14 +422,14 @@
   }
 
   /** What a copy must gain now; null where passes are short enough. */
-  #wanted({ pauseMs, policy }: MapTerms): number | null {
-    const outlook = {
+  #minGainPerCopy({ pauseMs, policy }: MapLimits): number | null {
+    const conditions = {
       passMs: this.#passes.passMs,
       pauseMs,
       usesInitialMap: this.#usesFirstMap,
       formedMsAgo: this.#options.runtime.now() - this.#resetAt,
     };
-    return requiredGain(outlook, policy.gainPerCopy);
+    return requiredGain(conditions, policy.gainPerCopy);
   }
 
   #input(input: MapSwitchInput): void {
--- a/src/daemon/direct/DirectEndpoint.ts
+++ b/src/daemon/direct/DirectEndpoint.ts
@@ -8,8 +8,8 @@
 import type { ControlTarget } from '../DaemonSettings.js';
 import { COORDINATOR_TICK_MS, DirectCoordinator } from './DirectCoordinator.js';
 import { DirectGroupMembers } from './DirectGroupMembers.js';
-import { DirectMapTerms } from './DirectMapTerms.js';
-import { DirectRank, type EnginePort } from './DirectRank.js';
+import { DirectMapLimits } from './DirectMapLimits.js';
+import { DirectRank, type EngineClient } from './DirectRank.js';
 import { DirectRankPeers, type OpenEngine } from './DirectRankPeers.js';
 
 /** Settings of the process. */
@@ -29,19 +29,19 @@
 const RANK_FLEET = 'ranks';
 
 /** Processes of a group that ask for its lease: one an AZ is enough for any of them to be lost. */
-const CANDIDATES = 3;
+const MAX_CANDIDATES = 3;
 
 /** How often the engine is asked for its group until it has one, ms. */
 const GROUP_POLL_MS = 500;
 
 /** How often the configuration is read by the coordinator; the engines' costs hardly change. ms. */
-const CONFIG_MS = 10_000;
+const CONFIG_INTERVAL_MS = 10_000;
 
 const LEASE_TICK_MS = 100;
 
 /** Asks the engine until it is part of a group. */
 async function findGroup(
-  engine: EnginePort,
+  engine: EngineClient,
   signal: AbortSignal,
 ): Promise<(RankReport & { readonly group: string }) | null> {
   while (!signal.aborted) {
@@ -59,7 +59,7 @@
 /** Runs an endpoint process until the signal. */
 export async function runDirectEndpoint(
   cfg: DirectEndpointSettings,
-  engine: EnginePort,
+  engine: EngineClient,
   openEngine: OpenEngine,
   documents: DocumentDialect,
   runtime: Runtime,
@@ -93,9 +93,9 @@
     random: runtime.random,
     // The coordinator alone reads the configuration, and only now and then.
     onConfig: null,
-    onDirectory: (delta) => members.take(delta),
+    onDirectory: (delta) => members.apply(delta),
   });
-  const isCandidate = (n: number): boolean => n % Math.ceil(ranks / CANDIDATES) === 0;
+  const isCandidate = (n: number): boolean => n % Math.ceil(ranks / MAX_CANDIDATES) === 0;
   if (!isCandidate(own)) {
     return;
   }
@@ -105,7 +105,7 @@
     log,
     now: runtime.now,
   });
-  const limits = new DirectMapTerms(cfg.service, documents);
+  const limits = new DirectMapLimits(cfg.service, documents);
   const coordinator = new DirectCoordinator({
     group,
     ranks,
@@ -113,9 +113,9 @@
     lease,
     peers,
     runtime,
-    policy: () => limits.value,
+    mapLimits: () => limits.value,
     isCandidate,
-    outlookSince: (token) => rank.outlookSince(token),
+    forecastSince: (token) => rank.newerForecast(token),
     publish: (load) => hubLink.notify('group.load', load),
   });
   runEvery(LEASE_TICK_MS, signal, () => {
@@ -129,7 +129,7 @@
   runEvery(COORDINATOR_TICK_MS, signal, () => coordinator.tick());
   let readAt = -Infinity;
   runEvery(GROUP_POLL_MS, signal, () => {
-    const due = limits.value === null || runtime.now() - readAt > CONFIG_MS;
+    const due = limits.value === null || runtime.now() - readAt > CONFIG_INTERVAL_MS;
     if (lease.lease.held !== null && hubLink.isAttached && due) {
       readAt = runtime.now();
       limits.read(hubLink).catch((err: unknown) => log.warn({ err }, 'configuration not read'));
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -14,14 +14,14 @@
 import { createApp } from '../DaemonApp.js';
 import { waitForAbort, runEvery, type Runtime } from '../DaemonRuntime.js';
 import type { ControlTarget } from '../DaemonSettings.js';
-import type { PlaceVerdict } from './DirectAdmission.js';
+import type { SlotDecision } from './DirectAdmission.js';
 import { DirectConfigWatch } from './DirectConfigWatch.js';
 import { DirectCall } from './DirectCall.js';
-import { DirectConnections } from './DirectConnections.js';
-import { DirectReply, quarantined } from './DirectReply.js';
-import { placeRequestOf, type DirectSpec } from './DirectSpec.js';
+import { DirectCallerConnections } from './DirectCallerConnections.js';
+import { DirectReply, quarantineError } from './DirectReply.js';
+import { slotRequestOf, type DirectRequest } from './DirectRequest.js';
 import { DirectEntryState } from './DirectEntryState.js';
-import type { CallTimes } from './DirectRequestLog.js';
+import type { CallStats } from './DirectRequestLog.js';
 import type { RetryAllowance } from '../../coordination/index.js';
 
 /** Settings of the process. */
@@ -57,19 +57,19 @@
 const GRACE_MARGIN_MS = 700;
 
 /** A leaving process waits this long with nothing in progress: callers' connections drain. In ms. */
-const LINGER_MS = 1_200;
+const IDLE_DRAIN_MS = 1_200;
 
 /** A platform that asks each second takes a process that isn't ready out within this time. In ms. */
-const ROTATION_MS = 2_500;
+const DEREGISTRATION_MS = 2_500;
 
 /** A leaving process takes streams for this long: later ones may last beyond its end. In ms. */
-const LAST_STREAM_MS = 2_600;
+const STREAM_ACCEPT_MS = 2_600;
 
 /** A plain call that a leaving process takes must have this much time until its end, ms. */
-const LAST_CALL_MS = 1_500;
+const MIN_CALL_MS = 1_500;
 
 /** A request that went to no endpoint. */
-const UNSENT: CallTimes = { firstMs: null, longestPauseMs: 0, lastEvent: null, attempts: 0 };
+const UNSENT_STATS: CallStats = { firstMs: null, longestPauseMs: 0, lastEvent: null, attempts: 0 };
 
 /** Entry process. */
 export class DirectEntry {
@@ -87,7 +87,7 @@
 
   #server: Server | null = null;
 
-  #connections: DirectConnections | null = null;
+  #connections: DirectCallerConnections | null = null;
 
   constructor(
     cfg: DirectEntrySettings,
@@ -105,8 +105,8 @@
       revokeMs,
       retries,
       ...dialects,
-      sendNews: (news) => this.#hubLink.notify('quarantine', news),
-      sendLimits: (news) => this.#hubLink.notify('limits', news),
+      sendQuarantineUpdate: (update) => this.#hubLink.notify('quarantine', update),
+      sendLimitUpdate: (update) => this.#hubLink.notify('limits', update),
     });
     this.#hubLink = new DaemonHubLink({
       targets: cfg.controls,
@@ -125,12 +125,12 @@
       onConfig: (config) => this.#state.onConfig(config),
       onDirectory: (delta) => this.#state.onDirectory(delta),
       onGroupLoad: (load) => this.#state.admission.onLoad(load),
-      onQuarantine: (news) => this.#state.screening.onUpdate(news),
-      onLimits: (news) => this.#state.turns.limits.onNews(news),
+      onQuarantine: (update) => this.#state.screening.onUpdate(update),
+      onLimits: (update) => this.#state.sendSlots.limits.onUpdate(update),
       onAttached: () => {
-        this.#watch.ask();
+        this.#watch.poll();
         this.#state.screening.onAttached();
-        this.#state.turns.limits.onUp();
+        this.#state.sendSlots.limits.onUp();
       },
     });
     this.#watch = new DirectConfigWatch({
@@ -155,7 +155,7 @@
       });
     });
     server.requestTimeout = 0;
-    this.#connections = new DirectConnections(server);
+    this.#connections = new DirectCallerConnections(server);
     this.#server = server;
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
@@ -164,11 +164,11 @@
     runEvery(TICK_MS, signal, () => this.#tick());
     runEvery(UNPROVEN_TICK_MS, signal, () => {
       if (!this.#state.isProven) {
-        this.#watch.ask();
+        this.#watch.poll();
       }
     });
     runEvery(QUEUE_TICK_MS, signal, () => {
-      this.#state.settle();
+      this.#state.applyChanges();
       if (this.#state.admission.waiting > 0) {
         this.#state.admission.tick();
       }
@@ -188,18 +188,18 @@
     this.#state.isLeaving = true;
     this.#state.startup.end();
     this.#hubLink.announce({ status: 'leaving' });
-    const begun = this.#runtime.now();
-    this.#leavingSince = begun;
-    let idleSince = begun;
-    while (this.#leftMs > 0) {
+    const leftAt = this.#runtime.now();
+    this.#leavingSince = leftAt;
+    let idleSince = leftAt;
+    while (this.#remainingMs > 0) {
       const now = this.#runtime.now();
-      const isOut = now - begun > ROTATION_MS;
+      const isDeregistered = now - leftAt > DEREGISTRATION_MS;
       if (this.#state.requests.inProgress > 0) {
         idleSince = now;
-      } else if (isOut && now - idleSince > LINGER_MS) {
+      } else if (isDeregistered && now - idleSince > IDLE_DRAIN_MS) {
         break;
       }
-      if (isOut) {
+      if (isDeregistered) {
         // Callers that hold them would send their next request into our end.
         this.#server?.closeIdleConnections();
       }
@@ -212,7 +212,7 @@
   }
 
   /** Time until this leaving process ends, ms; without end for one that stays. */
-  get #leftMs(): number {
+  get #remainingMs(): number {
     const since = this.#leavingSince;
     return since === null
       ? Infinity
@@ -226,15 +226,15 @@
    * Symptom: the stream is cut by its end. Enough: such a request is refused as not run, at once, and
    * the caller sends it elsewhere.
    */
-  #checkStay(route: Route): void {
+  #refuseIfLeaving(route: Route): void {
     const since = this.#leavingSince;
     if (since === null) {
       return;
     }
     const tooLate =
       route.kind === 'stream'
-        ? this.#runtime.now() - since > LAST_STREAM_MS
-        : this.#leftMs < LAST_CALL_MS;
+        ? this.#runtime.now() - since > STREAM_ACCEPT_MS
+        : this.#remainingMs < MIN_CALL_MS;
     if (tooLate) {
       throw new RequestError('leaving', 'this process is about to end');
     }
@@ -248,7 +248,7 @@
       this.#server.keepAliveTimeout = routes.plan.limits.idleTimeoutMs;
       this.#server.headersTimeout = Math.max(1_000, routes.plan.limits.headerTimeoutMs * 2);
     }
-    this.#watch.ask();
+    this.#watch.poll();
   }
 
   async #onRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -256,9 +256,9 @@
     this.#connections?.onRequest(req, res);
     const startedAt = this.#runtime.now();
     const reply = new DirectReply(res);
-    let spec: DirectSpec;
+    let request: DirectRequest;
     try {
-      spec = await this.#read(req, reply, startedAt);
+      request = await this.#read(req, reply, startedAt);
     } catch (err) {
       if (!(err instanceof RequestError)) {
         throw err;
@@ -267,53 +267,53 @@
       return;
     }
     this.#state.requests.begin();
-    const verdict = await this.#acquire(spec);
-    if (this.#state.isHeld(spec)) {
-      this.#refuseHeld(spec, verdict);
+    const verdict = await this.#acquire(request);
+    if (this.#state.isQuarantined(request)) {
+      this.#refuseQuarantined(request, verdict);
       return;
     }
     if (!verdict.granted) {
-      this.#refuseWaiting(spec, verdict.retryAfterMs);
+      this.#refuseOverloaded(request, verdict.retryAfterMs);
       return;
     }
-    this.#state.countFirst(spec.service);
-    const call = new DirectCall(this.#state, spec);
+    this.#state.countFirst(request.service);
+    const call = new DirectCall(this.#state, request);
     const outcome = await call.run();
-    this.#state.requests.end(spec, outcome, call);
+    this.#state.requests.end(request, outcome, call);
   }
 
   /** Waits for a place at the service, as long as its caller does and the request may be sent at all. */
-  async #acquire(spec: DirectSpec): Promise<PlaceVerdict> {
-    if (this.#state.isHeld(spec)) {
+  async #acquire(request: DirectRequest): Promise<SlotDecision> {
+    if (this.#state.isQuarantined(request)) {
       return { granted: false, retryAfterMs: 0 };
     }
     const over = new AbortController();
     const end = (): void => over.abort();
-    const unregisterClose = spec.reply.registerClose(end);
-    const unregisterHeld = this.#state.registerHeld(spec, end);
-    const verdict = await this.#state.admission.acquire(placeRequestOf(spec), over.signal);
-    unregisterHeld();
+    const unregisterClose = request.reply.registerClose(end);
+    const unregisterQuarantineListener = this.#state.registerQuarantineListener(request, end);
+    const verdict = await this.#state.admission.acquire(slotRequestOf(request), over.signal);
+    unregisterQuarantineListener();
     unregisterClose();
     return verdict;
   }
 
   /** Refuses a request that endpoints have ended under, before it is sent to any. */
-  #refuseHeld(spec: DirectSpec, { granted }: PlaceVerdict): void {
+  #refuseQuarantined(request: DirectRequest, { granted }: SlotDecision): void {
     if (granted) {
-      this.#state.admission.onUnused(spec.service);
+      this.#state.admission.onUnused(request.service);
     }
     const { screening } = this.#state;
-    screening.logQuarantined(spec.identity, spec.head.id);
-    const heldForMs = screening.quarantinedForMs(spec.identity);
-    spec.reply.refuse(quarantined(), heldForMs, this.#state.isLeaving);
-    this.#state.requests.end(spec, spec.reply.isClosed ? 'callerGone' : 'quarantined', UNSENT);
+    screening.logQuarantined(request.identity, request.head.id);
+    const quarantinedForMs = screening.quarantinedForMs(request.identity);
+    request.reply.refuse(quarantineError(), quarantinedForMs, this.#state.isLeaving);
+    this.#state.requests.end(request, request.reply.isClosed ? 'callerGone' : 'quarantined', UNSENT_STATS);
   }
 
-  #refuseWaiting(spec: DirectSpec, retryAfterMs: number): void {
-    const gone = spec.reply.isClosed;
+  #refuseOverloaded(request: DirectRequest, retryAfterMs: number): void {
+    const isDisconnected = request.reply.isClosed;
     const error = new RequestError('overloaded', 'the service has no place in time');
-    spec.reply.refuse(error, retryAfterMs, this.#state.isLeaving);
-    this.#state.requests.end(spec, gone ? 'callerGone' : 'refused', UNSENT);
+    request.reply.refuse(error, retryAfterMs, this.#state.isLeaving);
+    this.#state.requests.end(request, isDisconnected ? 'callerGone' : 'refused', UNSENT_STATS);
   }
 
   #refuse(req: IncomingMessage, reply: DirectReply, err: RequestError): void {
@@ -327,12 +327,12 @@
     this.#state.requests.countReply(reply);
   }
 
-  get #knowsConfig(): boolean {
+  get #hasConfig(): boolean {
     return this.#state.routes !== null && this.#state.isProven;
   }
 
   /** Waits for what a process that has just started lacks, as long as the caller does. */
-  async #awaitStart(
+  async #awaitStartup(
     reply: DirectReply,
     startedAt: number,
     timeoutMs: number | null,
@@ -341,22 +341,22 @@
     if (isMet()) {
       return;
     }
-    const gone = new AbortController();
-    const unregister = reply.registerClose(() => gone.abort());
-    await this.#state.startup.until(isMet, startedAt, timeoutMs ?? Infinity, gone.signal);
+    const disconnected = new AbortController();
+    const unregister = reply.registerClose(() => disconnected.abort());
+    await this.#state.startup.waitUntil(isMet, startedAt, timeoutMs ?? Infinity, disconnected.signal);
     unregister();
   }
 
   /** Reads a request whole and finds out who may have it served by what. */
-  async #read(req: IncomingMessage, reply: DirectReply, startedAt: number): Promise<DirectSpec> {
+  async #read(req: IncomingMessage, reply: DirectReply, startedAt: number): Promise<DirectRequest> {
     const head = this.#state.dialect.readRequest(req.headers);
     const body = await readBody(req);
-    await this.#awaitStart(reply, startedAt, head.deadlineMs, () => this.#knowsConfig);
+    await this.#awaitStartup(reply, startedAt, head.deadlineMs, () => this.#hasConfig);
     const { route, customer } = this.#authorize(req, head.key);
-    this.#checkStay(route);
+    this.#refuseIfLeaving(route);
     const timeoutMs = Math.min(route.timeoutMs, head.deadlineMs ?? route.timeoutMs);
     const service = pickTarget(route, this.#runtime.random());
-    await this.#awaitStart(reply, startedAt, timeoutMs, () => this.#state.knowsEndpoint(service));
+    await this.#awaitStartup(reply, startedAt, timeoutMs, () => this.#state.knowsEndpoint(service));
     return {
       req,
       reply,
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -44,13 +44,13 @@
 import type { SendUpdate } from '../DaemonSharedSet.js';
 import { DaemonScreening } from '../DaemonScreening.js';
 import type { Runtime } from '../DaemonRuntime.js';
-import { DirectAdmission, USUAL_PAUSE_MS, type ModelService } from './DirectAdmission.js';
+import { DirectAdmission, DEFAULT_PAUSE_MS, type ModelService } from './DirectAdmission.js';
 import type { AttemptFailure } from './DirectAttempt.js';
-import type { DirectSpec } from './DirectSpec.js';
+import type { DirectRequest } from './DirectRequest.js';
 import { DirectRequestLog } from './DirectRequestLog.js';
 import { DirectPools } from './DirectPools.js';
 import { DirectStartup } from './DirectStartup.js';
-import { DirectTurns, type Turn } from './DirectTurns.js';
+import { DirectSendSlots, type SendSlot } from './DirectSendSlots.js';
 import { DIRECT_FLEET, textOfDocument } from './DirectDocument.js';
 
 /** What the state needs. */
@@ -64,22 +64,22 @@
   readonly revokeMs: number;
   readonly retries: RetryAllowance;
   /** Sends news of suspected requests to the control process. */
-  readonly sendNews: SendQuarantineUpdate;
+  readonly sendQuarantineUpdate: SendQuarantineUpdate;
   /** Sends news of limits to the control process. */
-  readonly sendLimits: SendUpdate<LimitNews>;
+  readonly sendLimitUpdate: SendUpdate<LimitNews>;
 }
 
 /** Instances proven gone are remembered this long, against late news of them. In ms. */
-const GONE_MS = 60_000;
+const REPLACED_RETENTION_MS = 60_000;
 
 /**
  * Age of the proof of the newest configuration up to which a key or path is called unknown, ms: two
  * questions' interval, and under the two seconds in which a change must be in force.
  */
-const DENIAL_MS = 1_500;
+const DENIAL_MAX_AGE_MS = 1_500;
 
 /** Connections that an endpoint takes where its service doesn't say. */
-const USUAL_CONNECTIONS = 64;
+const DEFAULT_CONNECTIONS = 64;
 
 /** Where nothing tells when a place is free, callers come back after about this long. In ms. */
 const RETRY_AFTER_MS = 400;
@@ -91,7 +91,7 @@
   readonly #pools = new DirectPools();
 
   /** When a life of an endpoint was proven to be over. */
-  readonly #gone = new Map<string, number>();
+  readonly #replaced = new Map<string, number>();
 
   readonly #budgets = new Map<string, RetryBudgetState>();
 
@@ -104,7 +104,7 @@
 
   readonly startup: DirectStartup;
 
-  readonly turns: DirectTurns;
+  readonly sendSlots: DirectSendSlots;
 
   /** Model services by name, as the newest configuration declares them. */
   readonly #models = new Map<string, ModelService | null>();
@@ -112,7 +112,7 @@
   #view: MembershipView = new Map();
 
   /** Members that have changed since their view was last worked out. */
-  #settling: UpdateThrottle = IDLE_THROTTLE;
+  #throttle: UpdateThrottle = IDLE_THROTTLE;
 
   #routing: RoutingState;
 
@@ -132,16 +132,16 @@
       this.#modelOf(service),
     );
     this.requests = new DirectRequestLog(options.runtime);
-    this.turns = new DirectTurns({
+    this.sendSlots = new DirectSendSlots({
       self: options.id,
       runtime: options.runtime,
-      send: options.sendLimits,
+      send: options.sendLimitUpdate,
       serving: (id) => this.#servingEndpoint(id),
     });
     this.screening = new DaemonScreening({
       runtime: options.runtime,
       metrics: this.requests.metrics,
-      send: options.sendNews,
+      send: options.sendQuarantineUpdate,
     });
   }
 
@@ -174,7 +174,7 @@
 
   /** Whether a key or path that this process doesn't know is unknown to the newest configuration too. */
   get mayDeny(): boolean {
-    return isFresh(this.#freshness, this.#options.runtime.clocks(), DENIAL_MS);
+    return isFresh(this.#freshness, this.#options.runtime.clocks(), DENIAL_MAX_AGE_MS);
   }
 
   /** What is missing to serve, or `ready`. */
@@ -201,7 +201,7 @@
     this.#setFreshness(receiveConfig(this.#freshness, config.index));
     const version = this.#routes?.plan.version ?? null;
     this.#options.runtime.log.info({ event: 'config', index: config.index, version }, 'in force');
-    this.startup.onNews();
+    this.startup.recheck();
   }
 
   /**
@@ -216,13 +216,13 @@
   onDirectory(delta: DirectoryDelta): void {
     this.screening.onMembers(delta.records, (id) => !this.#view.has(id));
     this.#view = mergeDelta(this.#view, delta, this.now());
-    this.#settling = requestUpdate(this.#settling);
-    this.settle();
+    this.#throttle = requestUpdate(this.#throttle);
+    this.applyChanges();
   }
 
   /** Works out what follows from members that have changed, a little later where many do one after the other. */
-  settle(): void {
-    if (isUpdateDue(this.#settling, this.now())) {
+  applyChanges(): void {
+    if (isUpdateDue(this.#throttle, this.now())) {
       this.#setView(this.#view);
     }
   }
@@ -230,13 +230,13 @@
   /** Drops what has been missing for too long. */
   tick(): void {
     this.screening.tick();
-    this.turns.tick();
+    this.sendSlots.tick();
     const view = pruneView(this.#view, this.now());
     if (view !== this.#view) {
       this.#setView(view);
     }
-    const old = this.now() - GONE_MS;
-    [...this.#gone].filter(([, at]) => at < old).forEach(([id]) => this.#gone.delete(id));
+    const old = this.now() - REPLACED_RETENTION_MS;
+    [...this.#replaced].filter(([, at]) => at < old).forEach(([incarnationKey]) => this.#replaced.delete(incarnationKey));
   }
 
   /** Chooses an endpoint, and writes down why. */
@@ -246,7 +246,7 @@
     exclude: readonly string[],
     attempt: number,
   ): MemberRecord | null {
-    const without = this.turns.without(exclude);
+    const without = this.sendSlots.withBlocked(exclude);
     const ranked = this.#chooseRank(service, without);
     if (ranked !== undefined) {
       const record = ranked === null ? null : (this.#view.get(ranked)?.record ?? null);
@@ -260,15 +260,15 @@
 
   /** An endpoint that has just refused is better than none. Undefined where the service has no groups. */
   #chooseRank(service: string, without: readonly string[]): string | null | undefined {
-    const { passedOver } = this.turns.refusals;
-    const chosen = this.admission.choose(service, [...without, ...passedOver]);
-    return chosen === null && passedOver.length > 0
+    const { avoided } = this.sendSlots.refusals;
+    const chosen = this.admission.choose(service, [...without, ...avoided]);
+    return chosen === null && avoided.length > 0
       ? this.admission.choose(service, without)
       : chosen;
   }
 
   #chooseByWork(service: string, without: readonly string[]): RoutingDecision {
-    const { passedOver } = this.turns.refusals;
+    const { avoided } = this.sendSlots.refusals;
     const key = serviceKey(DIRECT_FLEET, service);
     const choose = (exclude: readonly string[]): RoutingDecision =>
       routeRequest(
@@ -277,8 +277,8 @@
         this.now(),
         this.#options.runtime.rng,
       );
-    const decision = choose([...without, ...passedOver]);
-    return decision.endpoint === null && passedOver.length > 0 ? choose(without) : decision;
+    const decision = choose([...without, ...avoided]);
+    return decision.endpoint === null && avoided.length > 0 ? choose(without) : decision;
   }
 
   /** Whether an endpoint of the service is known; for model engines that are ranks, their group. */
@@ -290,42 +290,42 @@
   }
 
   /** Ends of endpoints after which a request is sent to no other. */
-  #mostEnds(service: string): number {
+  #quarantineCrashes(service: string): number {
     return this.admission.hasGroups(service) ? QUARANTINE_CRASHES.group : QUARANTINE_CRASHES.single;
   }
 
   /** Whether a request must be sent to no endpoint. */
-  isHeld({ identity, service }: DirectSpec): boolean {
-    return this.screening.isQuarantined(identity, this.#mostEnds(service));
+  isQuarantined({ identity, service }: DirectRequest): boolean {
+    return this.screening.isQuarantined(identity, this.#quarantineCrashes(service));
   }
 
   /** Calls once a request in progress is held; the result ends that. */
-  registerHeld({ identity, service }: DirectSpec, onHeld: () => void): () => void {
-    return this.screening.registerQuarantineListener(identity, this.#mostEnds(service), onHeld);
+  registerQuarantineListener({ identity, service }: DirectRequest, onQuarantined: () => void): () => void {
+    return this.screening.registerQuarantineListener(identity, this.#quarantineCrashes(service), onQuarantined);
   }
 
   /** Whether an endpoint is left for another attempt. */
   canRoute(service: string, exclude: readonly string[]): boolean {
-    const without = this.turns.without(exclude);
+    const without = this.sendSlots.withBlocked(exclude);
     const ranked = this.admission.choose(service, without);
     return ranked === undefined ? this.#hasOther(service, without) : ranked !== null;
   }
 
   /** Takes the next turn at an endpoint of the service that takes nothing now; null where none comes in time. */
-  takeTurn(service: string, exclude: readonly string[], withinMs: number): Turn | null {
-    return this.admission.isClosed(service) ? null : this.turns.take(service, exclude, withinMs);
+  reserveSendSlot(service: string, exclude: readonly string[], withinMs: number): SendSlot | null {
+    return this.admission.isClosed(service) ? null : this.sendSlots.reserveNext(service, exclude, withinMs);
   }
 
   /** Time until an endpoint of the service that takes nothing now takes a request, ms; null where none will. */
-  nextTurnMs(service: string, exclude: readonly string[]): number | null {
+  nextSendSlotMs(service: string, exclude: readonly string[]): number | null {
     return this.admission.isClosed(service)
       ? null
-      : (this.turns.next(service, exclude)?.waitMs ?? null);
+      : (this.sendSlots.next(service, exclude)?.waitMs ?? null);
   }
 
   #servingEndpoint(id: string): MemberRecord | undefined {
     const record = this.#view.get(id)?.record;
-    const serves = record?.status === 'serving' && !this.#gone.has(incarnationKeyOf(record));
+    const serves = record?.status === 'serving' && !this.#replaced.has(incarnationKeyOf(record));
     return serves ? record : undefined;
   }
 
@@ -354,7 +354,7 @@
       this.admission.onGroupBroken(endpoint.id);
     }
     if (wrongInstance) {
-      this.#gone.set(incarnationKeyOf(endpoint), this.now());
+      this.#replaced.set(incarnationKeyOf(endpoint), this.now());
       this.#setView(this.#view);
     }
   }
@@ -363,10 +363,10 @@
    * The connection to an endpoint has ended under a request. Resolves once it is known, as far as it can be, whether
    * the endpoint has. One that leaves, or is known to be gone, ends as planned: that tells nothing of its requests.
    */
-  async onConnectionEnded(endpoint: MemberRecord, spec: DirectSpec): Promise<void> {
+  async onConnectionLost(endpoint: MemberRecord, request: DirectRequest): Promise<void> {
     const record = this.#view.get(endpoint.id)?.record;
     if (record?.status === 'serving' && record.incarnation === endpoint.incarnation) {
-      await this.screening.onConnectionLost(endpoint, spec.identity, spec.head.id);
+      await this.screening.onConnectionLost(endpoint, request.identity, request.head.id);
     }
   }
 
@@ -386,9 +386,9 @@
 
   /** When a caller that is refused should come back, ms. */
   retryAfter(service: string, leftMs: number): number {
-    const usual = RETRY_AFTER_MS * (0.5 + this.#options.runtime.random());
-    const turnMs = this.canRoute(service, []) ? null : this.nextTurnMs(service, []);
-    return turnMs ?? this.admission.retryAfter(service, leftMs) ?? usual;
+    const defaultMs = RETRY_AFTER_MS * (0.5 + this.#options.runtime.random());
+    const sendSlotMs = this.canRoute(service, []) ? null : this.nextSendSlotMs(service, []);
+    return sendSlotMs ?? this.admission.retryAfter(service, leftMs) ?? defaultMs;
   }
 
   /** Headers of an endpoint's answer as they go to the caller. */
@@ -403,8 +403,8 @@
   }
 
   pool(endpoint: MemberRecord): EndpointPool {
-    const spec = this.#routes?.services.get(endpoint.offer?.service ?? '');
-    return this.#pools.to(endpoint, spec?.maxConnections ?? USUAL_CONNECTIONS, this.#entryHosts);
+    const serviceSpec = this.#routes?.services.get(endpoint.offer?.service ?? '');
+    return this.#pools.to(endpoint, serviceSpec?.maxConnections ?? DEFAULT_CONNECTIONS, this.#entryHosts);
   }
 
   #setFreshness(freshness: FreshnessState): void {
@@ -413,23 +413,23 @@
     if (!wasProven && this.isProven) {
       const { log } = this.#options.runtime;
       log.info({ event: 'proven', index: freshness.heldConfigIndex }, 'configuration proven the newest');
-      this.startup.onNews();
+      this.startup.recheck();
     }
   }
 
   #setView(view: MembershipView): void {
     this.#view = view;
-    this.#settling = finishUpdate(this.now());
-    const serving = servingMembers(view).filter((record) => !this.#gone.has(incarnationKeyOf(record)));
+    this.#throttle = finishUpdate(this.now());
+    const serving = servingMembers(view).filter((record) => !this.#replaced.has(incarnationKeyOf(record)));
     const entries = serving.filter(({ role }) => role === 'entry').map(({ id }) => id);
     this.#entryHosts = entries.length;
-    this.turns.limits.setHosts(entries);
+    this.sendSlots.limits.setHosts(entries);
     this.admission.setMembers(serving, this.#entryHosts);
     this.#routing = updateRouting(this.#routing, { type: 'members', records: serving }, this.now());
-    const lives = new Set([...view.values()].map(({ record }) => incarnationKeyOf(record)));
-    this.turns.keep((life) => lives.has(life));
-    this.#pools.keep((life) => lives.has(life) && !this.#gone.has(life));
-    this.startup.onNews();
+    const incarnationKeys = new Set([...view.values()].map(({ record }) => incarnationKeyOf(record)));
+    this.sendSlots.keep((incarnationKey) => incarnationKeys.has(incarnationKey));
+    this.#pools.keep((incarnationKey) => incarnationKeys.has(incarnationKey) && !this.#replaced.has(incarnationKey));
+    this.startup.recheck();
   }
 
   #modelOf(service: string): ModelService | null {
@@ -438,10 +438,10 @@
       return known;
     }
     const costs = this.#routes?.services.get(service)?.engine ?? null;
-    const pauses = (this.#routes?.plan.routes ?? [])
+    const pauseLimits = (this.#routes?.plan.routes ?? [])
       .filter(({ targets }) => targets.some((target) => target.service === service))
       .flatMap(({ pauseMs }) => (pauseMs === null ? [] : [pauseMs]));
-    const pauseMs = pauses.length === 0 ? USUAL_PAUSE_MS : Math.min(...pauses);
+    const pauseMs = pauseLimits.length === 0 ? DEFAULT_PAUSE_MS : Math.min(...pauseLimits);
     const model = costs === null ? null : { costs, pauseMs };
     this.#models.set(service, model);
     return model;
--- a/src/daemon/direct/DirectGroupMembers.ts
+++ b/src/daemon/direct/DirectGroupMembers.ts
@@ -6,7 +6,7 @@
 export class DirectGroupMembers {
   readonly #records = new Map<string, MemberRecord>();
 
-  take({ records }: DirectoryDelta): void {
+  apply({ records }: DirectoryDelta): void {
     records.forEach((record) => this.#records.set(record.id, record));
   }
 
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -16,7 +16,7 @@
 import { DaemonLimits } from '../DaemonLimits.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import type { SendUpdate } from '../DaemonSharedSet.js';
-import { DirectPaces } from './DirectPaces.js';
+import { DirectSendRates } from './DirectSendRates.js';
 
 /** What the task needs. */
 export interface DirectLimitsOptions {
@@ -28,10 +28,10 @@
 }
 
 /** Name under which the control process's news are taken: there is one at a time. */
-const HUB = 'hub';
+const CONTROL = 'hub';
 
 /** Task of one entry process. */
-export class DirectLimits extends DirectPaces<SendRate> {
+export class DirectLimits extends DirectSendRates<SendRate> {
   readonly #options: DirectLimitsOptions;
 
   readonly #limits: DaemonLimits;
@@ -48,14 +48,14 @@
     this.#options = options;
     this.#limits = new DaemonLimits({
       runtime: options.runtime,
-      publish: (news, from) => {
+      publish: (update, from) => {
         if (from === null) {
-          options.send(news);
+          options.send(update);
         }
       },
-      onStateChange: () => this.#adjust(),
+      onStateChange: () => this.#updateRates(),
     });
-    const count = (): number => this.paces.size;
+    const count = (): number => this.rates.size;
     // eslint-disable-next-line no-new
     new Gauge({
       name: 'laburnumgauge_limited_endpoints',
@@ -75,7 +75,7 @@
   }
 
   /** Marks a request that is sent now. */
-  mark(endpoint: MemberRecord): LimitTimestamp {
+  timestamp(endpoint: MemberRecord): LimitTimestamp {
     return {
       clock: clockOf(this.#limits.state, incarnationKeyOf(endpoint)),
       at: this.#options.runtime.now(),
@@ -85,17 +85,17 @@
   /** Takes the limit that an answer names; `sent` marks its request. */
   onAnswer(endpoint: MemberRecord, sent: LimitTimestamp, limit: NamedLimit, request: string): void {
     const { log, now } = this.#options.runtime;
-    const life = incarnationKeyOf(endpoint);
-    const step = applyAdvertisedLimit(this.#limits.state, life, sent, limit, now());
+    const incarnationKey = incarnationKeyOf(endpoint);
+    const step = applyAdvertisedLimit(this.#limits.state, incarnationKey, sent, limit, now());
     this.#limits.apply(step);
     if (step.changed.length > 0 || limit === 'unreadable') {
-      log.info({ event: 'limit_named', endpoint: life, limit, request }, 'an answer names a limit');
+      log.info({ event: 'limit_named', endpoint: incarnationKey, limit, request }, 'an answer names a limit');
     }
   }
 
   /** Takes the control process's news. */
-  onNews(news: LimitNews): void {
-    this.#limits.onUpdate(news, HUB, this.#options.send);
+  onUpdate(update: LimitNews): void {
+    this.#limits.onUpdate(update, CONTROL, this.#options.send);
   }
 
   /** A new link to a control process is up: it is told all that is held here. */
@@ -115,34 +115,34 @@
 
   #onHosts(): void {
     this.#intervals.clear();
-    this.#adjust();
+    this.#updateRates();
   }
 
   #updateHosts(): void {
     this.#hosts = updateHosts(this.#hosts, this.#members, this.#options.runtime.now());
   }
 
-  #intervalOf(life: IncarnationKey, perSecond: number): number {
-    const known = this.#intervals.get(life);
+  #intervalOf(incarnationKey: IncarnationKey, perSecond: number): number {
+    const known = this.#intervals.get(incarnationKey);
     if (known?.perSecond === perSecond) {
       return known.intervalMs;
     }
     const hosts = [...this.#hosts.keys()];
-    const intervalMs = sendIntervalOf(this.#options.self, life, perSecond, hosts);
-    this.#intervals.set(life, { perSecond, intervalMs });
+    const intervalMs = sendIntervalOf(this.#options.self, incarnationKey, perSecond, hosts);
+    this.#intervals.set(incarnationKey, { perSecond, intervalMs });
     return intervalMs;
   }
 
   /** Brings the paces in line with limits and hosts. */
-  #adjust(): void {
+  #updateRates(): void {
     const now = this.#options.runtime.now();
-    const paces = new Map<IncarnationKey, SendRate>();
-    this.#limits.state.forEach(({ life, perSecond }) => {
+    const rates = new Map<IncarnationKey, SendRate>();
+    this.#limits.state.forEach(({ life: incarnationKey, perSecond }) => {
       if (perSecond !== null) {
-        const intervalMs = this.#intervalOf(life, perSecond);
-        paces.set(life, updateInterval(this.paces.get(life), intervalMs, now));
+        const intervalMs = this.#intervalOf(incarnationKey, perSecond);
+        rates.set(incarnationKey, updateInterval(this.rates.get(incarnationKey), intervalMs, now));
       }
     });
-    this.replace(paces);
+    this.replace(rates);
   }
 }
--- a/src/daemon/direct/DirectMapTerms.ts
+++ b/src/daemon/direct/DirectMapLimits.ts
@@ -3,8 +3,8 @@
 import type { DocumentDialect, EngineCosts } from '../../protocol/index.js';
 import type { ConfigState } from '../../state/index.js';
 import type { DaemonHubLink } from '../DaemonHubLink.js';
-import { USUAL_PAUSE_MS } from './DirectAdmission.js';
-import type { MapTerms } from './DirectCoordinator.js';
+import { DEFAULT_PAUSE_MS } from './DirectAdmission.js';
+import type { MapLimits } from './DirectCoordinator.js';
 import { textOfDocument } from './DirectDocument.js';
 
 /**
@@ -13,7 +13,7 @@
  * a rank of large experts (142 ms each) take the skew from 2.9 to 1.1, ten of small ones (27 ms) from 3.2
  * to 1.12, and all that would fit another 0.05 for twice the time.
  */
-const COPYING_MS = 290;
+const COPY_BUDGET_MS = 290;
 
 /** Part of the mean load that a copy must take off the most loaded rank of its set to be worth its bytes. */
 const GAIN_PER_COPY = 0.004;
@@ -21,26 +21,26 @@
 /** What a change may bring, by how long the engine takes to copy an expert. */
 export function mapPolicy({ copyMs, mostNew, sets }: EngineCosts): MapPolicy {
   const all = mostNew * sets;
-  const inTime = copyMs > 0 ? Math.floor(COPYING_MS / copyMs) : all;
-  return { maxCopiesPerRank: Math.max(1, Math.min(all, inTime)), gainPerCopy: GAIN_PER_COPY };
+  const withinBudget = copyMs > 0 ? Math.floor(COPY_BUDGET_MS / copyMs) : all;
+  return { maxCopiesPerRank: Math.max(1, Math.min(all, withinBudget)), gainPerCopy: GAIN_PER_COPY };
 }
 
 /** Reads from the configuration what limits a change of map. */
-export class DirectMapTerms {
+export class DirectMapLimits {
   readonly #service: string;
 
   readonly #documents: DocumentDialect;
 
   #costs: EngineCosts | null = null;
 
-  #pauseMs = USUAL_PAUSE_MS;
+  #pauseMs = DEFAULT_PAUSE_MS;
 
   constructor(service: string, documents: DocumentDialect) {
     this.#service = service;
     this.#documents = documents;
   }
 
-  get value(): MapTerms | null {
+  get value(): MapLimits | null {
     const costs = this.#costs;
     return costs === null
       ? null
@@ -48,7 +48,7 @@
           shape: { slotsPerRank: costs.slotsPerRank, maxNewExperts: costs.mostNew },
           policy: mapPolicy(costs),
           pauseMs: this.#pauseMs,
-          expertsInAll: costs.sets * costs.experts,
+          totalExperts: costs.sets * costs.experts,
         };
   }
 
--- a/src/daemon/direct/DirectRank.ts
+++ b/src/daemon/direct/DirectRank.ts
@@ -17,7 +17,7 @@
 import type { LinkHandlers } from '../../transport/index.js';
 
 /** How the engine on this host is spoken to; its adapter implements this. */
-export interface EnginePort {
+export interface EngineClient {
   report: () => Promise<RankReport>;
   counts: () => Promise<RankCounts>;
   /** Experts of this rank in the map in use, by set. */
@@ -26,22 +26,22 @@
 }
 
 /** A coordinator's question. */
-export interface RankAsk {
+export interface RankRequest {
   readonly token: number;
   readonly withCounts: boolean;
   readonly withExperts: boolean;
   /** What the coordinator expects, for whoever may succeed it; null where nothing is new. */
-  readonly outlook: GroupOutlook | null;
+  readonly outlook: GroupForecast | null;
 }
 
 /** What a coordinator of a group leaves to its successor. */
-export interface GroupOutlook {
+export interface GroupForecast {
   readonly demand: PackedDemand;
   /** Largest over mean load under a group's first map. */
   readonly firstSkew: number;
 }
 
-/** Answer to a {@link RankAsk}; `fenced` where a newer coordinator has been heard. */
+/** Answer to a {@link RankRequest}; `fenced` where a newer coordinator has been heard. */
 export type RankReply =
   | { readonly fenced: true }
   | {
@@ -53,7 +53,7 @@
     };
 
 /** A coordinator's order. */
-export interface RankOrderAsk {
+export interface RankOrderRequest {
   readonly token: number;
   readonly order: EngineOrder;
   /** Where the order's map is left empty: the version that it differs from, and the rows that differ. */
@@ -74,56 +74,56 @@
  * release the group.
  */
 export class DirectRank {
-  readonly #engine: EnginePort;
+  readonly #engine: EngineClient;
 
   readonly #log: Logger;
 
-  #highest = 0;
+  #highestToken = 0;
 
   /** Newest map that this rank was told to prepare. */
-  #prepared: { readonly version: number; readonly map: GroupMap } | null = null;
+  #lastMap: { readonly version: number; readonly map: GroupMap } | null = null;
 
   /** Counts as a coordinator last read them. */
-  #counted: { readonly token: number; readonly counts: RankCounts } | null = null;
+  #lastCounts: { readonly token: number; readonly counts: RankCounts } | null = null;
 
   /** What the last coordinator expected, with its token. */
-  #outlook: { readonly token: number; readonly outlook: GroupOutlook } | null = null;
+  #forecast: { readonly token: number; readonly outlook: GroupForecast } | null = null;
 
-  constructor(engine: EnginePort, log: Logger) {
+  constructor(engine: EngineClient, log: Logger) {
     this.#engine = engine;
     this.#log = log;
   }
 
   get handlers(): LinkHandlers {
     return {
-      'rank.ask': async (params) => this.ask(params as RankAsk),
-      'rank.order': async (params) => this.order(params as RankOrderAsk),
+      'rank.ask': async (params) => this.ask(params as RankRequest),
+      'rank.order': async (params) => this.order(params as RankOrderRequest),
     };
   }
 
   /** What a coordinator with a higher token than this one expected; null where none was heard. */
-  outlookSince(token: number): GroupOutlook | null {
-    return this.#outlook !== null && this.#outlook.token > token ? this.#outlook.outlook : null;
+  newerForecast(token: number): GroupForecast | null {
+    return this.#forecast !== null && this.#forecast.token > token ? this.#forecast.outlook : null;
   }
 
-  async ask({ token, withCounts, withExperts, outlook }: RankAsk): Promise<RankReply> {
+  async ask({ token, withCounts, withExperts, outlook }: RankRequest): Promise<RankReply> {
     if (this.#isFenced(token)) {
       return { fenced: true };
     }
     if (outlook !== null) {
-      this.#outlook = { token, outlook };
+      this.#forecast = { token, outlook };
     }
     const report = await this.#engine.report();
-    const counts = withCounts ? await this.#count(token) : null;
+    const counts = withCounts ? await this.#readNewCounts(token) : null;
     const experts = withExperts ? await this.#engine.experts() : null;
     return this.#isFenced(token) ? { fenced: true } : { fenced: false, report, counts, experts };
   }
 
   /** What was chosen since the coordinator with this token asked before. */
-  async #count(token: number): Promise<PackedCounts | null> {
+  async #readNewCounts(token: number): Promise<PackedCounts | null> {
     const counts = await this.#engine.counts();
-    const before = this.#counted;
-    this.#counted = { token, counts };
+    const before = this.#lastCounts;
+    this.#lastCounts = { token, counts };
     return packIncrements(before?.token === token ? before.counts.counts : null, counts.counts);
   }
 
@@ -133,24 +133,24 @@
    * @throws {Error} where this process doesn't know the map that it differs from: it has begun anew, and the
    * coordinator must send the whole.
    */
-  #complete({ order, diff }: RankOrderAsk): EngineOrder {
+  #completeOrder({ order, diff }: RankOrderRequest): EngineOrder {
     if (order.kind !== 'prepare') {
       return order;
     }
-    if (diff !== undefined && this.#prepared?.version !== diff.from) {
+    if (diff !== undefined && this.#lastMap?.version !== diff.from) {
       throw new Error(`map ${diff.from} isn't known here`);
     }
-    const map = diff === undefined ? order.map : applyMapDiff(this.#prepared?.map ?? [], diff.rows);
-    this.#prepared = { version: order.version, map };
+    const map = diff === undefined ? order.map : applyMapDiff(this.#lastMap?.map ?? [], diff.rows);
+    this.#lastMap = { version: order.version, map };
     return { ...order, map };
   }
 
-  async order(ask: RankOrderAsk): Promise<RankOrderReply> {
-    const { token } = ask;
+  async order(request: RankOrderRequest): Promise<RankOrderReply> {
+    const { token } = request;
     if (this.#isFenced(token)) {
       return { fenced: true };
     }
-    const order = this.#complete(ask);
+    const order = this.#completeOrder(request);
     const result = await this.#engine.order(order);
     const { kind } = order;
     const version = 'version' in order ? order.version : null;
@@ -161,7 +161,7 @@
   }
 
   #isFenced(token: number): boolean {
-    this.#highest = Math.max(this.#highest, token);
-    return token < this.#highest;
+    this.#highestToken = Math.max(this.#highestToken, token);
+    return token < this.#highestToken;
   }
 }
--- a/src/daemon/direct/DirectRankPeers.ts
+++ b/src/daemon/direct/DirectRankPeers.ts
@@ -5,29 +5,29 @@
 import type { Runtime } from '../DaemonRuntime.js';
 import {
   DirectRank,
-  type EnginePort,
-  type RankAsk,
-  type RankOrderAsk,
+  type EngineClient,
+  type RankRequest,
+  type RankOrderRequest,
   type RankOrderReply,
   type RankReply,
 } from './DirectRank.js';
 
 /** An answer later than this is as good as none: a pass takes some 50 ms. In ms. */
-const ASK_MS = 400;
+const REQUEST_TIMEOUT_MS = 400;
 
 /** A whole map of a large group is this long under way at most, ms. */
-const MAP_MS = 1_400;
+const MAP_TIMEOUT_MS = 1_400;
 
 /** A process beside an engine that hasn't answered for this long is passed over, ms. */
-const PASSED_OVER_MS = 500;
+const UNRESPONSIVE_MS = 500;
 
 /** One whose link couldn't be made for this long refuses connections: it is gone, not slow. In ms. */
-const GONE_MS = 120;
+const UNREACHABLE_MS = 120;
 
 type PrepareOrder = Extract<EngineOrder, { kind: 'prepare' }>;
 
 /** Opens the engine of a rank by the address of the process beside it. */
-export type OpenEngine = (beside: Address) => EnginePort;
+export type OpenEngine = (sidecar: Address) => EngineClient;
 
 /** A rank's process, and its engine for when that doesn't answer. */
 interface RankLink {
@@ -90,32 +90,32 @@
   }
 
   /** Begins to be asked again after a time without: silence until now tells nothing. */
-  begin(): void {
+  resetTimeouts(): void {
     this.#answeredAt.forEach((_at, rank) => this.#answeredAt.set(rank, this.#runtime.now()));
   }
 
-  async ask(rank: number, ask: RankAsk): Promise<RankReply> {
+  async ask(rank: number, request: RankRequest): Promise<RankReply> {
     if (rank === this.#own) {
-      return this.#rank.ask(ask);
+      return this.#rank.ask(request);
     }
     // Counts read from another host slow the group down: those of this rank are done without.
-    const direct = this.#passedOver(rank);
+    const direct = this.#engineIfUnresponsive(rank);
     return direct === null
-      ? ((await this.#request(rank, 'rank.ask', ask)) as RankReply)
-      : direct.ask({ ...ask, withCounts: false });
+      ? ((await this.#request(rank, 'rank.ask', request)) as RankReply)
+      : direct.ask({ ...request, withCounts: false });
   }
 
-  async order(rank: number, ask: RankOrderAsk): Promise<RankOrderReply> {
+  async order(rank: number, request: RankOrderRequest): Promise<RankOrderReply> {
     if (rank === this.#own) {
-      return this.#rank.order(ask);
+      return this.#rank.order(request);
     }
-    const direct = this.#passedOver(rank);
+    const direct = this.#engineIfUnresponsive(rank);
     if (direct !== null) {
-      return direct.order(ask);
+      return direct.order(request);
     }
-    return ask.order.kind === 'prepare'
-      ? this.#sendMap(rank, ask, ask.order)
-      : ((await this.#request(rank, 'rank.order', ask)) as RankOrderReply);
+    return request.order.kind === 'prepare'
+      ? this.#sendMap(rank, request, request.order)
+      : ((await this.#request(rank, 'rank.order', request)) as RankOrderReply);
   }
 
   /**
@@ -125,18 +125,18 @@
    * more than its copies. Enough: a change moves about a hundred experts, 0.8 kB; a process that has begun
    * anew refuses it, and is sent the whole.
    */
-  async #sendMap(rank: number, ask: RankOrderAsk, order: PrepareOrder): Promise<RankOrderReply> {
+  async #sendMap(rank: number, request: RankOrderRequest, order: PrepareOrder): Promise<RankOrderReply> {
     const known = this.#maps.get(rank);
     this.#maps.delete(rank);
-    const params: RankOrderAsk =
+    const params: RankOrderRequest =
       known === undefined
-        ? ask
+        ? request
         : {
-            token: ask.token,
+            token: request.token,
             order: { ...order, map: [] },
             diff: { from: known.version, rows: diffMap(known.map, order.map) },
           };
-    const reply = (await this.#request(rank, 'rank.order', params, MAP_MS)) as RankOrderReply;
+    const reply = (await this.#request(rank, 'rank.order', params, MAP_TIMEOUT_MS)) as RankOrderReply;
     this.#maps.set(rank, { version: order.version, map: order.map });
     return reply;
   }
@@ -145,7 +145,7 @@
     rank: number,
     method: string,
     params: unknown,
-    timeoutMs = ASK_MS,
+    timeoutMs = REQUEST_TIMEOUT_MS,
   ): Promise<unknown> {
     const link = this.#links.get(rank);
     if (link === undefined) {
@@ -157,13 +157,13 @@
   }
 
   /** The engine of a rank whose process doesn't answer; null where that does. */
-  #passedOver(rank: number): DirectRank | null {
+  #engineIfUnresponsive(rank: number): DirectRank | null {
     const link = this.#links.get(rank);
     const answeredAt = this.#answeredAt.get(rank);
     if (link === undefined || answeredAt === undefined) {
       return null;
     }
-    const patienceMs = link.client.link === null ? GONE_MS : PASSED_OVER_MS;
+    const patienceMs = link.client.link === null ? UNREACHABLE_MS : UNRESPONSIVE_MS;
     if (this.#runtime.now() - answeredAt < patienceMs) {
       return null;
     }
--- a/src/daemon/direct/DirectRefusals.ts
+++ b/src/daemon/direct/DirectRefusals.ts
@@ -26,7 +26,7 @@
   }
 
   /** Ids of endpoints to pass over as long as others are left. */
-  get passedOver(): readonly string[] {
+  get avoided(): readonly string[] {
     return refusingEndpoints(this.#refusals, this.#runtime.now());
   }
 
--- a/src/daemon/direct/DirectReply.ts
+++ b/src/daemon/direct/DirectReply.ts
@@ -5,18 +5,18 @@
 import { ReplyError } from './DirectReplyError.js';
 
 /** The answer to a request that endpoints have ended under: until it is forgotten no try makes sense. */
-export function quarantined(): RequestError {
+export function quarantineError(): RequestError {
   return new RequestError('quarantined', 'endpoints have ended while they ran this request');
 }
 
 /** Whose head an answer bears: the endpoint's, an error's of this process, one that the HTTP library made up. */
-export type ReplyHead = 'endpoint' | 'own' | 'library';
+export type HeadSource = 'endpoint' | 'own' | 'library';
 
 /** What a caller was sent. */
-export interface ReplyAccount {
+export interface ReplySummary {
   /** Null where no head was sent, as to a caller that has left. */
   readonly status: number | null;
-  readonly head: ReplyHead | null;
+  readonly head: HeadSource | null;
   /** Bytes of the body. */
   readonly bytes: number;
 }
@@ -29,10 +29,10 @@
 }
 
 /** Statuses of answers that have no body (RFC 9110, section 6.4.1). */
-const BARE_STATUSES: ReadonlySet<number> = new Set([204, 304]);
+const BODYLESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
 /** Length that an endpoint has put on an answer without a body; null where there is none, as ever with 204. */
-function statedLength(status: number, raw: readonly string[]): string | null {
+function declaredLength(status: number, raw: readonly string[]): string | null {
   const at = raw.findIndex((name, i) => i % 2 === 0 && name.toLowerCase() === 'content-length');
   return status === 204 || at < 0 ? null : (raw[at + 1] ?? null);
 }
@@ -41,7 +41,7 @@
 export class DirectReply {
   readonly #res: ServerResponse;
 
-  #head: ReplyHead | null = null;
+  #head: HeadSource | null = null;
 
   #bytes = 0;
 
@@ -50,7 +50,7 @@
   }
 
   /** Whether the caller has been sent the head of a stream. */
-  get begun(): boolean {
+  get streamStarted(): boolean {
     return this.#head === 'endpoint';
   }
 
@@ -59,7 +59,7 @@
     return this.#res.destroyed;
   }
 
-  get account(): ReplyAccount {
+  get summary(): ReplySummary {
     const { headersSent, statusCode } = this.#res;
     return headersSent
       ? { status: statusCode, head: this.#head ?? 'library', bytes: this.#bytes }
@@ -104,9 +104,9 @@
     { status, headers }: ReplyStart,
     { raw, body }: Pick<WholeAnswer, 'raw' | 'body'>,
   ): void {
-    const isBare = this.#res.req.method === 'HEAD' || BARE_STATUSES.has(status);
+    const isBodyless = this.#res.req.method === 'HEAD' || BODYLESS_STATUSES.has(status);
     // Without a body the length is that of another answer, and the endpoint alone knows it.
-    const length = isBare ? statedLength(status, raw) : String(body.length);
+    const length = isBodyless ? declaredLength(status, raw) : String(body.length);
     const framed = length === null ? headers : [...headers, 'Content-Length', length];
     this.#writeHead('endpoint', { status, headers: framed });
     this.#end(body);
@@ -138,7 +138,7 @@
    * streams end with the connection.
    */
   cut(): void {
-    if (this.#isUnframed) {
+    if (this.#isCloseDelimited) {
       this.#res.socket?.resetAndDestroy();
     }
     this.#res.destroy();
@@ -146,19 +146,19 @@
 
   /** Without a head of ours the HTTP library sends one of its own, which tells of a success. */
   #assertBegun(): void {
-    if (!this.begun) {
+    if (!this.streamStarted) {
       throw new ReplyError('a stream goes on that has no head');
     }
   }
 
   /** Whether the end of the connection is the end of the answer. */
-  get #isUnframed(): boolean {
+  get #isCloseDelimited(): boolean {
     return this.#res.headersSent && !this.#res.chunkedEncoding && this.#head === 'endpoint';
   }
 
   /** The HTTP server ends the connection of a caller that has ended its side, answered or not; this comes first. */
   #watchHalfClose(): void {
-    if (this.#isUnframed) {
+    if (this.#isCloseDelimited) {
       this.#res.socket?.prependOnceListener('end', () => {
         if (!this.#res.writableEnded) {
           this.cut();
@@ -167,7 +167,7 @@
     }
   }
 
-  #writeHead(head: ReplyHead, { status, headers }: ReplyStart): void {
+  #writeHead(head: HeadSource, { status, headers }: ReplyStart): void {
     this.#res.writeHead(status, [...headers]);
     this.#head = head;
   }
--- a/src/daemon/direct/DirectSpec.ts
+++ b/src/daemon/direct/DirectRequest.ts
@@ -1,14 +1,14 @@
 /** A request that an entry process has taken in, and how it can end. */
 import type { IncomingMessage } from 'node:http';
 import type { KeyedCustomer, RequestHead, RequestIdentity, Route } from '../../protocol/index.js';
-import type { PlaceRequest } from './DirectAdmission.js';
+import type { SlotRequest } from './DirectAdmission.js';
 import type { DirectReply } from './DirectReply.js';
 
 /** A request with less of its route's time than this was refused before and has come back. */
-const RETURNED_SHARE = 0.97;
+const RETRY_TIME_SHARE = 0.97;
 
 /** A request that was taken in. */
-export interface DirectSpec {
+export interface DirectRequest {
   readonly req: IncomingMessage;
   readonly reply: DirectReply;
   readonly head: RequestHead;
@@ -24,8 +24,8 @@
 }
 
 /** What a request asks of admission. */
-export function placeRequestOf(spec: DirectSpec): PlaceRequest {
-  const { head, route, service, customer, startedAt, deadline } = spec;
+export function slotRequestOf(request: DirectRequest): SlotRequest {
+  const { head, route, service, customer, startedAt, deadline } = request;
   return {
     request: head.id,
     service,
@@ -36,8 +36,8 @@
     patienceMs: route.patienceMs,
     tokens: head.tokens?.answer ?? head.expectedTokens,
     likelyTokens: head.expectedTokens,
-    eventsHad: route.resumable ? Number(head.lastEvent ?? 0) || 0 : 0,
-    returned: head.deadlineMs !== null && head.deadlineMs < route.timeoutMs * RETURNED_SHARE,
+    eventsReceived: route.resumable ? Number(head.lastEvent ?? 0) || 0 : 0,
+    isCallerRetry: head.deadlineMs !== null && head.deadlineMs < route.timeoutMs * RETRY_TIME_SHARE,
   };
 }
 
--- a/src/daemon/direct/DirectRequestLog.ts
+++ b/src/daemon/direct/DirectRequestLog.ts
@@ -2,12 +2,12 @@
 import type { DirectFailure, DirectVerdict, RoutingDecision } from '../../coordination/index.js';
 import { EntryMetrics } from '../DaemonEntryMetrics.js';
 import type { Runtime } from '../DaemonRuntime.js';
-import type { PlaceVerdict } from './DirectAdmission.js';
+import type { SlotDecision } from './DirectAdmission.js';
 import type { DirectReply } from './DirectReply.js';
-import type { DirectOutcome, DirectSpec } from './DirectSpec.js';
+import type { DirectOutcome, DirectRequest } from './DirectRequest.js';
 
 /** What is noted of a request's way. */
-export interface CallTimes {
+export interface CallStats {
   /** Time to the first byte of the answer, ms; null where there was none. */
   readonly firstMs: number | null;
   /** Longest pause between two events of a stream, ms. */
@@ -18,7 +18,7 @@
 }
 
 /** Which attempt of a request a choice is for. */
-interface ChoiceOf {
+interface ChoiceContext {
   readonly service: string;
   readonly request: string;
   readonly attempt: number;
@@ -45,15 +45,15 @@
     this.#inProgress += 1;
   }
 
-  end(spec: DirectSpec, outcome: DirectOutcome, times: CallTimes): void {
-    const { firstMs, longestPauseMs, lastEvent, attempts } = times;
+  end(request: DirectRequest, outcome: DirectOutcome, stats: CallStats): void {
+    const { firstMs, longestPauseMs, lastEvent, attempts } = stats;
     this.#inProgress -= 1;
     this.metrics.onEnded(outcome);
     if (firstMs !== null) {
       this.metrics.onFirstByte(firstMs);
     }
-    const { head, route, service, customer, startedAt, reply } = spec;
-    const { status, head: headOf, bytes } = reply.account;
+    const { head, route, service, customer, startedAt, reply } = request;
+    const { status, head: headOf, bytes } = reply.summary;
     this.countReply(reply);
     const ms = Math.round(this.#runtime.now() - startedAt);
     this.#runtime.log.info(
@@ -83,12 +83,12 @@
   }
 
   /** Counts an answer by whose head it bore. */
-  countReply({ account }: DirectReply): void {
-    this.metrics.onReply(account.head ?? 'none');
+  countReply({ summary }: DirectReply): void {
+    this.metrics.onReply(summary.head ?? 'none');
   }
 
   /** A rank was chosen for its place, or none. */
-  chosenRank({ service, request, attempt }: ChoiceOf, endpoint: string | null): void {
+  chosenRank({ service, request, attempt }: ChoiceContext, endpoint: string | null): void {
     this.#runtime.log.info(
       { event: 'route', request, attempt, service, endpoint, reason: 'least_work' },
       'routing decision',
@@ -96,7 +96,7 @@
   }
 
   /** An endpoint was chosen among those without a group, or none. */
-  chosen({ service, request, attempt }: ChoiceOf, decision: RoutingDecision): void {
+  chosen({ service, request, attempt }: ChoiceContext, decision: RoutingDecision): void {
     const { endpoint, reason, of, candidates } = decision;
     this.#runtime.log.info(
       {
@@ -132,13 +132,13 @@
   }
 
   /** A request that an endpoint didn't run has waited for a place again. */
-  waited(request: string, service: string, verdict: PlaceVerdict, retry: boolean): void {
+  waited(request: string, service: string, verdict: SlotDecision, retry: boolean): void {
     const { granted } = verdict;
     this.#runtime.log.info({ event: 'waited', request, service, granted, retry }, 'waited');
   }
 
   /** A request has taken a turn at an endpoint that takes nothing now, or none that comes in time (null). */
-  turn(request: string, endpoint: string | null, waitMs: number): void {
+  sendSlotWait(request: string, endpoint: string | null, waitMs: number): void {
     const { log } = this.#runtime;
     log.info({ event: 'turn', request, endpoint, waitMs: Math.round(waitMs) }, 'no endpoint free');
   }
--- a/src/daemon/direct/DirectPaces.ts
+++ b/src/daemon/direct/DirectSendRates.ts
@@ -9,43 +9,43 @@
 import type { MemberRecord } from '../../protocol/index.js';
 
 /** Paces by life, in one place of change. */
-export class DirectPaces<Pace extends SendRate> {
+export class DirectSendRates<Rate extends SendRate> {
   readonly #now: () => number;
 
-  #paces: ReadonlyMap<IncarnationKey, Pace> = new Map();
+  #rates: ReadonlyMap<IncarnationKey, Rate> = new Map();
 
   constructor(now: () => number) {
     this.#now = now;
   }
 
-  get paces(): ReadonlyMap<IncarnationKey, Pace> {
-    return this.#paces;
+  get rates(): ReadonlyMap<IncarnationKey, Rate> {
+    return this.#rates;
   }
 
-  replace(paces: ReadonlyMap<IncarnationKey, Pace>): void {
-    this.#paces = paces;
+  replace(rates: ReadonlyMap<IncarnationKey, Rate>): void {
+    this.#rates = rates;
   }
 
   /** Endpoints that take nothing now, with the time until they do, ms; infinite for none to come. */
-  get heldBack(): readonly (readonly [IncarnationKey, number])[] {
+  get blocked(): readonly (readonly [IncarnationKey, number])[] {
     const now = this.#now();
-    return [...this.#paces]
-      .map(([life, pace]) => [life, sendWaitMs(pace, now)] as const)
+    return [...this.#rates]
+      .map(([incarnationKey, rate]) => [incarnationKey, sendWaitMs(rate, now)] as const)
       .filter(([, waitMs]) => waitMs > 0);
   }
 
   /** Time until an endpoint takes a request, ms. */
   waitMs(endpoint: MemberRecord): number {
-    const pace = this.#paces.get(incarnationKeyOf(endpoint));
-    return pace === undefined ? 0 : sendWaitMs(pace, this.#now());
+    const rate = this.#rates.get(incarnationKeyOf(endpoint));
+    return rate === undefined ? 0 : sendWaitMs(rate, this.#now());
   }
 
   /** Takes the next turn at an endpoint, whenever that is. */
   reserve(endpoint: MemberRecord): void {
-    const life = incarnationKeyOf(endpoint);
-    const pace = this.#paces.get(life);
-    if (pace !== undefined) {
-      this.#paces = new Map(this.#paces).set(life, reserveSendSlot(pace, this.#now()));
+    const incarnationKey = incarnationKeyOf(endpoint);
+    const rate = this.#rates.get(incarnationKey);
+    if (rate !== undefined) {
+      this.#rates = new Map(this.#rates).set(incarnationKey, reserveSendSlot(rate, this.#now()));
     }
   }
 }
--- a/src/daemon/direct/DirectPlacesLog.ts
+++ b/src/daemon/direct/DirectSlotsLog.ts
@@ -3,14 +3,14 @@
 import { isOpenGroup, type GroupSlots } from '../../coordination/index.js';
 
 /** Where nobody waits, places are logged this often, ms. */
-const QUIET_LOG_MS = 2_000;
+const IDLE_LOG_INTERVAL_MS = 2_000;
 
 function sum(values: readonly number[]): number {
   return values.reduce((a, b) => a + b, 0);
 }
 
 /** What a line tells beside the group's state. */
-export interface PlacesUse {
+export interface SlotUsage {
   /** Requests of this process in progress, by endpoint. */
   readonly own: ReadonlyMap<string, number>;
   /** Requests that wait here for a place at the service. */
@@ -18,7 +18,7 @@
 }
 
 /** Writes a line when a group opens or closes, while requests wait, and now and then. */
-export class DirectPlacesLog {
+export class DirectSlotsLog {
   readonly #log: Logger;
 
   readonly #now: () => number;
@@ -31,12 +31,12 @@
     this.#now = now;
   }
 
-  write(state: GroupSlots, { own, waiting }: PlacesUse): void {
+  write(state: GroupSlots, { own, waiting }: SlotUsage): void {
     const { group, load, allowance, limit, passMs } = state;
     const now = this.#now();
     const open = load !== null && isOpenGroup(state);
     const logged = this.#logged.get(group);
-    if (waiting === 0 && logged?.open === open && now - logged.at < QUIET_LOG_MS) {
+    if (waiting === 0 && logged?.open === open && now - logged.at < IDLE_LOG_INTERVAL_MS) {
       return;
     }
     this.#logged.set(group, { open, at: now });
--- a/src/daemon/direct/DirectStartup.ts
+++ b/src/daemon/direct/DirectStartup.ts
@@ -4,7 +4,7 @@
 import type { Runtime } from '../DaemonRuntime.js';
 
 /** Requests that wait at most, so that a flood fills neither memory nor descriptors; more are refused at once. */
-const MOST_WAITING = 500;
+const MAX_WAITING = 500;
 
 /** Task state of the process. */
 export class DirectStartup {
@@ -28,46 +28,46 @@
   }
 
   /** Something has changed: those whose condition now holds go on. */
-  onNews(): void {
+  recheck(): void {
     [...this.#waiting].forEach((look) => look());
   }
 
   /** The process is about to end: nobody waits any more. */
   end(): void {
     this.#isOver = true;
-    this.onNews();
+    this.recheck();
   }
 
   /**
    * Waits until a condition holds, as long as the start of the process and the caller allow, or until the signal.
    * Resolves whichever it was.
    *
-   * @param cameAt When the request came, ms on the local monotonic clock.
+   * @param arrivedAt When the request came, ms on the local monotonic clock.
    * @param deadlineMs Time from then until its caller's deadline.
    */
-  async until(
+  async waitUntil(
     isMet: () => boolean,
-    cameAt: number,
+    arrivedAt: number,
     deadlineMs: number,
     signal: AbortSignal,
   ): Promise<void> {
     const now = this.#now();
-    const waitMs = startupWaitMs(now - this.#startedAt, now - cameAt, deadlineMs);
-    const isFull = this.#waiting.size >= MOST_WAITING;
+    const waitMs = startupWaitMs(now - this.#startedAt, now - arrivedAt, deadlineMs);
+    const isFull = this.#waiting.size >= MAX_WAITING;
     if (waitMs === 0 || isFull || isMet() || this.#isOver || signal.aborted) {
       return;
     }
     const over = new AbortController();
     const end = (): void => over.abort();
-    const look = (): void => {
+    const check = (): void => {
       if (this.#isOver || isMet()) {
         end();
       }
     };
-    this.#waiting.add(look);
+    this.#waiting.add(check);
     signal.addEventListener('abort', end);
     await delay(waitMs, undefined, { signal: over.signal }).catch(() => undefined);
     signal.removeEventListener('abort', end);
-    this.#waiting.delete(look);
+    this.#waiting.delete(check);
   }
 }
--- a/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
@@ -3,7 +3,7 @@
 import { pino } from 'pino';
 import type { EngineCosts, GroupLoad, MemberRecord } from '../../../../protocol/index.js';
 import type { Runtime } from '../../../DaemonRuntime.js';
-import { DirectAdmission, type PlaceRequest } from '../../DirectAdmission.js';
+import { DirectAdmission, type SlotRequest } from '../../DirectAdmission.js';
 
 const COSTS: EngineCosts = {
   slots: 2,
@@ -35,7 +35,7 @@
   };
 }
 
-function beside(n: number): MemberRecord {
+function sidecar(n: number): MemberRecord {
   return {
     ...engine(n),
     id: `side${n}`,
@@ -49,7 +49,7 @@
   return { group: 'g', open, active: each, queued: [0, 0], slow: [], passMs: 40, skew: 1 };
 }
 
-const REQUEST: PlaceRequest = {
+const REQUEST: SlotRequest = {
   request: 'r',
   service: 's',
   priority: 1,
@@ -59,8 +59,8 @@
   patienceMs: 2_000,
   tokens: 100,
   likelyTokens: 100,
-  eventsHad: 0,
-  returned: false,
+  eventsReceived: 0,
+  isCallerRetry: false,
 };
 
 function openAdmission(log = pino({ level: 'silent' }), now = (): number => 0): DirectAdmission {
@@ -69,11 +69,11 @@
     costs: COSTS,
     pauseMs: 120,
   }));
-  admission.setMembers([engine(1), engine(2), beside(1), beside(2)], 1);
+  admission.setMembers([engine(1), engine(2), sidecar(1), sidecar(2)], 1);
   return admission;
 }
 
-const STAYS = new AbortController().signal;
+const NEVER_ABORTED = new AbortController().signal;
 
 describe('DirectAdmission', () => {
   it('finds the rank of an endpoint by the process beside it', () => {
@@ -92,7 +92,7 @@
     admission.onGroupBroken('e1');
     assert.equal(admission.choose('s', []), null);
     assert.equal(admission.isClosed('s'), true);
-    const waiting = admission.acquire(REQUEST, STAYS);
+    const waiting = admission.acquire(REQUEST, NEVER_ABORTED);
     assert.equal(admission.waiting, 1);
     admission.onLoad(load(0));
     assert.equal((await waiting).granted, true);
@@ -105,7 +105,7 @@
   it('lets those in that wait as soon as the group is open', async () => {
     const admission = openAdmission();
     admission.onLoad(load(0, false));
-    const waiting = admission.acquire({ ...REQUEST, returned: true }, STAYS);
+    const waiting = admission.acquire({ ...REQUEST, isCallerRetry: true }, NEVER_ABORTED);
     assert.equal(admission.waiting, 1);
     admission.onLoad(load(0));
     assert.deepEqual(await waiting, { granted: true });
@@ -118,7 +118,7 @@
     const waits = (): boolean => {
       const before = admission.waiting;
       const req = { ...REQUEST, startedAt: now, deadline: now + 8_000 };
-      admission.acquire(req, STAYS).catch(() => undefined);
+      admission.acquire(req, NEVER_ABORTED).catch(() => undefined);
       return admission.waiting > before;
     };
     admission.onGroupBroken('e1');
@@ -141,11 +141,11 @@
   it('counts only what is left to write of a stream that goes on', () => {
     const admission = openAdmission();
     admission.onLoad(load(COSTS.slots));
-    const rest = { ...REQUEST, tokens: 1_000, likelyTokens: 1_000, deadline: 2_500 };
-    admission.acquire({ ...rest, returned: true }, STAYS).catch(() => undefined);
+    const longRequest = { ...REQUEST, tokens: 1_000, likelyTokens: 1_000, deadline: 2_500 };
+    admission.acquire({ ...longRequest, isCallerRetry: true }, NEVER_ABORTED).catch(() => undefined);
     assert.equal(admission.waiting, 0);
     const eventsHad = 198;
-    admission.acquire({ ...rest, returned: true, eventsHad }, STAYS).catch(() => undefined);
+    admission.acquire({ ...longRequest, isCallerRetry: true, eventsReceived: eventsHad }, NEVER_ABORTED).catch(() => undefined);
     assert.equal(admission.waiting, 1);
   });
 
@@ -179,7 +179,7 @@
     const admission = openAdmission();
     admission.onLoad(load(0, false));
     const gone = new AbortController();
-    const waiting = admission.acquire({ ...REQUEST, returned: true }, gone.signal);
+    const waiting = admission.acquire({ ...REQUEST, isCallerRetry: true }, gone.signal);
     gone.abort();
     assert.equal((await waiting).granted, false);
     assert.equal(admission.waiting, 0);
@@ -197,12 +197,12 @@
     now = 700;
     admission.tick();
     assert.equal(admission.choose('s', []), null);
-    const waiting = admission.acquire({ ...REQUEST, startedAt: now, deadline: 8_700 }, STAYS);
+    const waiting = admission.acquire({ ...REQUEST, startedAt: now, deadline: 8_700 }, NEVER_ABORTED);
     assert.equal(admission.waiting, 1);
     admission.onEvent('e1', false);
     admission.tick();
     assert.equal((await waiting).granted, true);
-    admission.onStreamOver('e1');
+    admission.onStreamFinished('e1');
     now = 1_400;
     assert.notEqual(admission.choose('s', []), null);
   });
--- a/src/daemon/direct/__tests__/unit/DirectCall.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCall.test.ts
@@ -14,7 +14,7 @@
 import { DirectCall } from '../../DirectCall.js';
 import type { DirectEntryState } from '../../DirectEntryState.js';
 import { DirectReply } from '../../DirectReply.js';
-import type { DirectSpec } from '../../DirectSpec.js';
+import type { DirectRequest } from '../../DirectRequest.js';
 
 const HEAD: AnswerHead = {
   status: 200,
@@ -39,7 +39,7 @@
   onUnused: ignore,
   onUnanswered: ignore,
   onEvent: ignore,
-  onStreamOver: ignore,
+  onStreamFinished: ignore,
 };
 
 /** What a call asks of its process, one endpoint behind it; some of it may be replaced. */
@@ -51,28 +51,28 @@
     admission: ADMISSION,
     screening: { onAnswered: ignore },
     dialect: { writeForward: () => [], readAnswer: () => HEAD },
-    registerHeld: () => ignore,
-    isHeld: () => false,
+    registerQuarantineListener: () => ignore,
+    isQuarantined: () => false,
     route: () => ENDPOINT,
     canRoute: () => false,
     takeRetry: () => false,
     pool: () => pool,
-    turns: {
-      limits: { mark: () => ({ clock: 0, at: 0 }) },
+    sendSlots: {
+      limits: { timestamp: () => ({ clock: 0, at: 0 }) },
       start: () => true,
       onAnswer: ignore,
     },
-    takeTurn: () => null,
-    nextTurnMs: () => null,
+    reserveSendSlot: () => null,
+    nextSendSlotMs: () => null,
     onSent: ignore,
     onDone: ignore,
     onAttemptFailed: ignore,
-    onConnectionEnded: async () => Promise.resolve(),
+    onConnectionLost: async () => Promise.resolve(),
     answerHeaders: () => [],
     lastEvent: () => ({ id: '1' }),
     requests: {
       attemptFailed: ignore,
-      turn: ignore,
+      sendSlotWait: ignore,
       waited: ignore,
       fault: (_request: string, err: unknown) => faults.push(err),
     },
@@ -81,8 +81,8 @@
   return state as unknown as DirectEntryState;
 }
 
-function specOf(res: ServerResponse, deadlineMs: number): DirectSpec {
-  const spec = {
+function directRequestOf(res: ServerResponse, deadlineMs: number): DirectRequest {
+  const directRequest = {
     req: { method: 'POST', url: '/x', rawHeaders: [] },
     reply: new DirectReply(res),
     head: { id: 'r1' },
@@ -93,7 +93,7 @@
     startedAt: performance.now(),
     deadline: performance.now() + deadlineMs,
   };
-  return spec as unknown as DirectSpec;
+  return directRequest as unknown as DirectRequest;
 }
 
 describe('DirectCall', () => {
@@ -129,7 +129,7 @@
     const faults: unknown[] = [];
     let outcome = '';
     const entry = createServer((_req, res) => {
-      const call = new DirectCall(stateOf(endpoint, faults, replaced), specOf(res, deadlineMs));
+      const call = new DirectCall(stateOf(endpoint, faults, replaced), directRequestOf(res, deadlineMs));
       call
         .run()
         .then((ended) => {
--- a/src/daemon/direct/__tests__/unit/DirectConnections.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCallerConnections.test.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http';
 import { connect, type AddressInfo } from 'node:net';
 import { afterEach, describe, it } from 'node:test';
-import { DirectConnections } from '../../DirectConnections.js';
+import { DirectCallerConnections } from '../../DirectCallerConnections.js';
 
 const REQUEST = 'GET / HTTP/1.1\r\nhost: x\r\n\r\n';
 
@@ -18,7 +18,7 @@
   /** What comes on a connection on which this is sent, until it ends. */
   const send = async (text: string): Promise<readonly string[]> => {
     const server = createServer({ connectionsCheckingInterval: 10 });
-    const connections = new DirectConnections(server);
+    const connections = new DirectCallerConnections(server);
     server.on('request', (req, res) => {
       connections.onRequest(req, res);
       req.resume();
--- a/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
@@ -3,7 +3,7 @@
 import { LinkTimeoutError } from '../../../../transport/index.js';
 import { DirectConfigWatch, type ConfigHub } from '../../DirectConfigWatch.js';
 
-const nameSeven = async (): Promise<unknown> => 7;
+const answerSeven = async (): Promise<unknown> => 7;
 
 /** A hub whose answers the test gives, and what was asked of the link to it. */
 class FakeHub implements ConfigHub {
@@ -15,7 +15,7 @@
 
   /** What a question gets. */
 
-  answer = nameSeven;
+  answer = answerSeven;
 
   alive = true;
 
@@ -54,7 +54,7 @@
   });
   const steps: string[][] = [];
   for (let i = 0; i < ticks; i += 1) {
-    watch.ask();
+    watch.poll();
     // eslint-disable-next-line no-await-in-loop
     await new Promise(setImmediate);
     steps.push(hub.done.splice(0));
--- a/src/daemon/direct/__tests__/unit/DirectMapTerms.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectMapLimits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { EngineCosts } from '../../../../protocol/index.js';
-import { mapPolicy } from '../../DirectMapTerms.js';
+import { mapPolicy } from '../../DirectMapLimits.js';
 
 const COSTS: EngineCosts = {
   slots: 8,
--- a/src/daemon/direct/__tests__/unit/DirectRank.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectRank.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { pino } from 'pino';
 import type { EngineOrder, GroupMap } from '../../../../protocol/index.js';
-import { DirectRank, type EnginePort } from '../../DirectRank.js';
+import { DirectRank, type EngineClient } from '../../DirectRank.js';
 import { IDLE_REPORT } from '../../../../__tests__/utils/RankFixtures.js';
 
 const REPORT = IDLE_REPORT;
@@ -12,9 +12,9 @@
 const ASK = { withCounts: false, withExperts: false, outlook: null };
 
 /** An engine that takes every order and keeps them. */
-function standIn(): { readonly engine: EnginePort; readonly orders: EngineOrder[] } {
+function fakeEngine(): { readonly engine: EngineClient; readonly orders: EngineOrder[] } {
   const orders: EngineOrder[] = [];
-  const engine: EnginePort = {
+  const engine: EngineClient = {
     report: async () => REPORT,
     counts: async () => ({ epoch: 1, step: 10, counts: [[1]] }),
     experts: async () => [[0]],
@@ -30,7 +30,7 @@
   // A coordinator is replaced while it is frozen, and goes on with its change when it wakes. Its orders
   // would mix with its successor's, and what it is told could make it release a group that is held.
   it('gives a replaced coordinator neither orders nor reports', async () => {
-    const { engine, orders } = standIn();
+    const { engine, orders } = fakeEngine();
     const rank = new DirectRank(engine, pino({ level: 'silent' }));
     assert.equal((await rank.order({ token: 1, order: HOLD })).fenced, false);
     assert.equal((await rank.ask({ token: 2, ...ASK })).fenced, false);
@@ -40,7 +40,7 @@
   });
 
   it('tells what a rank reports after an order', async () => {
-    const rank = new DirectRank(standIn().engine, pino({ level: 'silent' }));
+    const rank = new DirectRank(fakeEngine().engine, pino({ level: 'silent' }));
     const reply = await rank.order({ token: 1, order: HOLD });
     assert.deepEqual(reply, { fenced: false, result: 'accepted', report: REPORT });
   });
@@ -48,19 +48,19 @@
   // A coordinator is lost; the process that takes over has asked this rank as well, in an earlier term of
   // its own. It must get what the other expected after it, and not what it said itself.
   it('keeps for a successor what a coordinator with a later token expected', async () => {
-    const rank = new DirectRank(standIn().engine, pino({ level: 'silent' }));
+    const rank = new DirectRank(fakeEngine().engine, pino({ level: 'silent' }));
     const outlook = { demand: [Uint8Array.of(255, 3)], firstSkew: 2 };
-    assert.equal(rank.outlookSince(0), null);
+    assert.equal(rank.newerForecast(0), null);
     await rank.ask({ token: 2, ...ASK, outlook });
     await rank.ask({ token: 2, ...ASK });
-    assert.deepEqual(rank.outlookSince(1), outlook);
-    assert.equal(rank.outlookSince(2), null);
+    assert.deepEqual(rank.newerForecast(1), outlook);
+    assert.equal(rank.newerForecast(2), null);
   });
 
   // A map of a large group is sent as what differs from the last one. A process that has begun anew knows
   // no last one: were the rows taken for a whole map, its rank would hold another map than the others.
   it('completes a map from what differs, and refuses where it does not know from what', async () => {
-    const { engine, orders } = standIn();
+    const { engine, orders } = fakeEngine();
     const rank = new DirectRank(engine, pino({ level: 'silent' }));
     const prepare = (version: number, map: GroupMap) =>
       ({ kind: 'prepare', epoch: 1, version, map }) as const;
@@ -76,7 +76,7 @@
 
   it('tells a coordinator what was chosen since it asked before', async () => {
     let count = 100;
-    const { engine } = standIn();
+    const { engine } = fakeEngine();
     const counts = async () => ({ epoch: 1, step: 1, counts: [[count, 7]] });
     const rank = new DirectRank({ ...engine, counts }, pino({ level: 'silent' }));
     const ask = async (token: number) => {
--- a/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
@@ -4,13 +4,13 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRuntime } from '../../../DaemonRuntime.js';
 import type { RankReport } from '../../../../protocol/index.js';
-import { DirectRank, type EnginePort } from '../../DirectRank.js';
+import { DirectRank, type EngineClient } from '../../DirectRank.js';
 import { DirectRankPeers } from '../../DirectRankPeers.js';
 import { IDLE_REPORT } from '../../../../__tests__/utils/RankFixtures.js';
 
 const REPORT: RankReport = { ...IDLE_REPORT, rank: 1, ranks: 2, heldStep: 12, active: 3 };
 
-const ENGINE: EnginePort = {
+const ENGINE: EngineClient = {
   report: async () => REPORT,
   counts: async () => ({ epoch: 1, step: 10, counts: [[1]] }),
   experts: async () => [[0]],
--- a/src/daemon/direct/__tests__/unit/DirectReply.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectReply.test.ts
@@ -4,16 +4,16 @@
 import { afterEach, describe, it } from 'node:test';
 import { request } from 'undici';
 import { RequestError } from '../../../../protocol/index.js';
-import { DirectReply, type ReplyAccount } from '../../DirectReply.js';
+import { DirectReply, type ReplySummary } from '../../DirectReply.js';
 import { ReplyError } from '../../DirectReplyError.js';
 
 const SEALED = ['X-Seal', 's1'];
 
-interface Replied {
+interface ReplyResult {
   readonly status: number;
   readonly seal: string | string[] | undefined;
   readonly body: string;
-  readonly account: ReplyAccount;
+  readonly account: ReplySummary;
 }
 
 describe('DirectReply', () => {
@@ -22,12 +22,12 @@
   afterEach(() => servers.splice(0).forEach((server) => server.close()));
 
   /** What a caller gets that is answered so, and what is noted of it. */
-  const reply = async (answer: (to: DirectReply) => void): Promise<Replied> => {
-    let account: ReplyAccount | null = null;
+  const reply = async (answer: (to: DirectReply) => void): Promise<ReplyResult> => {
+    let account: ReplySummary | null = null;
     const server = createServer((_req, res) => {
       const to = new DirectReply(res);
       answer(to);
-      account = to.account;
+      account = to.summary;
     });
     servers.push(server);
     await new Promise<void>((resolve) => {
@@ -68,7 +68,7 @@
     );
     assert.deepEqual(whole.account, { status: 200, head: 'endpoint', bytes: 3 });
     const stream = await reply((to) => {
-      assert.deepEqual(to.account, { status: null, head: null, bytes: 0 });
+      assert.deepEqual(to.summary, { status: null, head: null, bytes: 0 });
       to.begin({ status: 200, headers: SEALED });
       to.passEvents(Buffer.from('id: 1\n\n'));
       to.endStream();
--- a/src/daemon/direct/__tests__/unit/DirectStartup.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectStartup.test.ts
@@ -10,7 +10,7 @@
   signal = NEVER,
 ): { startup: DirectStartup; done: Promise<void> } {
   const startup = new DirectStartup({ now: () => 0 });
-  return { startup, done: startup.until(isMet, 0, 8_000, signal) };
+  return { startup, done: startup.waitUntil(isMet, 0, 8_000, signal) };
 }
 
 describe('DirectStartup', () => {
@@ -18,10 +18,10 @@
   it('lets a request go on as soon as what it needs is there', async () => {
     let isProven = false;
     const { startup, done } = begin(() => isProven);
-    startup.onNews();
+    startup.recheck();
     assert.equal(startup.waiting, 1);
     isProven = true;
-    startup.onNews();
+    startup.recheck();
     await done;
     assert.equal(startup.waiting, 0);
   });
@@ -30,7 +30,7 @@
     const { startup, done } = begin(() => false);
     startup.end();
     await done;
-    await startup.until(() => false, 0, 8_000, NEVER);
+    await startup.waitUntil(() => false, 0, 8_000, NEVER);
     assert.equal(startup.waiting, 0);
   });
 
@@ -38,7 +38,7 @@
   it('lets no more wait than it has room for', async () => {
     const { startup } = begin(() => false);
     const others = Array.from({ length: 2_000 }, async () =>
-      startup.until(() => false, 0, 8_000, NEVER),
+      startup.waitUntil(() => false, 0, 8_000, NEVER),
     );
     assert.ok(startup.waiting < 1_000);
     startup.end();
