--- a/src/coordination/Admission.ts
+++ b/src/coordination/Admission.ts
@@ -41,7 +41,10 @@
     );
     return { state, error };
   }
-  const saved = Math.min(MAX_RETRY_TOKENS, (state.retryTokens.get(service) ?? MAX_RETRY_TOKENS) + RETRY_TOKENS_PER_REQUEST);
+  const saved = Math.min(
+    MAX_RETRY_TOKENS,
+    (state.retryTokens.get(service) ?? MAX_RETRY_TOKENS) + RETRY_TOKENS_PER_REQUEST,
+  );
   return {
     state: {
       inFlight: state.inFlight.set(customer.name, inFlight + 1),
--- a/src/coordination/Attempts.ts
+++ b/src/coordination/Attempts.ts
@@ -142,7 +142,14 @@
   }
   const tried = endpoint === null ? state.triedEndpoints : [...state.triedEndpoints, endpoint.id];
   return {
-    state: { ...state, phase: 'routing', attempt: attempt + 1, endpoint: null, triedEndpoints: tried, seq: 0 },
+    state: {
+      ...state,
+      phase: 'routing',
+      attempt: attempt + 1,
+      endpoint: null,
+      triedEndpoints: tried,
+      seq: 0,
+    },
     outputs: [{ type: 'reset' }, { type: 'route', exclude: tried }],
   };
 }
--- a/src/coordination/ConfigFreshness.ts
+++ b/src/coordination/ConfigFreshness.ts
@@ -45,7 +45,11 @@
   if (pending === null || index < pending.index) {
     return { ...state, heldConfigIndex: index };
   }
-  return { heldConfigIndex: index, provenAt: newerOf(state.provenAt, pending.requestedAt), pending: null };
+  return {
+    heldConfigIndex: index,
+    provenAt: newerOf(state.provenAt, pending.requestedAt),
+    pending: null,
+  };
 }
 
 /** Takes the answer to a question that was sent at `askedAt`. */
--- a/src/coordination/Consensus.ts
+++ b/src/coordination/Consensus.ts
@@ -275,7 +275,11 @@
   message: onMessage,
   propose: (state, { id, command }, ctx) =>
     state.role === 'leader'
-      ? prependProposed(appendAsLeader(state, { kind: 'command', command }, ctx), id, lastIndex(state) + 1)
+      ? prependProposed(
+          appendAsLeader(state, { kind: 'command', command }, ctx),
+          id,
+          lastIndex(state) + 1,
+        )
       : refuse(state, id),
   members: onMembers,
   read: (state, { id }, ctx) =>
--- a/src/coordination/ConsensusElection.ts
+++ b/src/coordination/ConsensusElection.ts
@@ -49,14 +49,22 @@
   };
 }
 
-function requestVotes(state: ConsensusState, type: 'preVote' | 'vote', term: number): ConsensusStep {
+function requestVotes(
+  state: ConsensusState,
+  type: 'preVote' | 'vote',
+  term: number,
+): ConsensusStep {
   const last = lastIndex(state);
   const message = { type, term, lastIndex: last, lastTerm: termAt(state, last) ?? 0 };
   const others = state.members.voters.filter((id) => id !== state.id);
   return { state, outputs: others.map((to) => ({ type: 'send', to, message })) };
 }
 
-function toCandidate(state: ConsensusState, role: ConsensusRole, electionAt: number): ConsensusState {
+function toCandidate(
+  state: ConsensusState,
+  role: ConsensusRole,
+  electionAt: number,
+): ConsensusState {
   return { ...state, role, leader: null, votes: [state.id], electionAt };
 }
 
@@ -86,7 +94,10 @@
     : requestVotes(next, 'preVote', next.term + 1);
 }
 
-function isUpToDate(state: ConsensusState, message: MessageOf<'vote'> | MessageOf<'preVote'>): boolean {
+function isUpToDate(
+  state: ConsensusState,
+  message: MessageOf<'vote'> | MessageOf<'preVote'>,
+): boolean {
   const last = lastIndex(state);
   const lastTerm = termAt(state, last) ?? 0;
   return message.lastTerm !== lastTerm ? message.lastTerm > lastTerm : message.lastIndex >= last;
--- a/src/coordination/ConsensusReplication.ts
+++ b/src/coordination/ConsensusReplication.ts
@@ -22,7 +22,12 @@
 
 function progressOf(state: ConsensusState, id: string): ConsensusProgress {
   return (
-    state.progress[id] ?? { next: lastIndex(state) + 1, match: 0, heardAt: state.heartbeatAt, round: 0 }
+    state.progress[id] ?? {
+      next: lastIndex(state) + 1,
+      match: 0,
+      heardAt: state.heartbeatAt,
+      round: 0,
+    }
   );
 }
 
@@ -144,7 +149,8 @@
   // Told at once rather than with the next heartbeat: what followers serve waits for it.
   const notifyFollowers = advanced.state.commit > next.commit ? broadcastStep(ctx) : unchanged;
   const committed = chain(chain(advanced, notifyFollowers), completeReads);
-  const isBehind = progress.next <= lastIndex(committed.state) && (!message.ok || match > known.match);
+  const isBehind =
+    progress.next <= lastIndex(committed.state) && (!message.ok || match > known.match);
   return isBehind
     ? chain(committed, (now) => ({
         state: now,
--- a/src/coordination/ConsensusVoters.ts
+++ b/src/coordination/ConsensusVoters.ts
@@ -43,9 +43,15 @@
  * Failure: leaders change while a host is gone. Symptom: counted from each election anew, its silence is
  * noticed late or never, and it still votes when the next disk is lost. Enough: links outlive elections.
  */
-function isUnreachable({ id, progress }: ConsensusState, replica: string, view: VoterView): boolean {
+function isUnreachable(
+  { id, progress }: ConsensusState,
+  replica: string,
+  view: VoterView,
+): boolean {
   const heard = [progress[replica]?.heardAt, view.heardAt(replica)];
-  return replica !== id && heard.some((at) => at !== undefined && view.now - at > UNREACHABLE_VOTER_MS);
+  return (
+    replica !== id && heard.some((at) => at !== undefined && view.now - at > UNREACHABLE_VOTER_MS)
+  );
 }
 
 /** Voters with which every quorum holds an entry on one more disk than may be lost. */
--- a/src/coordination/DemandCounts.ts
+++ b/src/coordination/DemandCounts.ts
@@ -30,7 +30,9 @@
   if (previous === null) {
     return null;
   }
-  const increments = current.map((set, s) => set.map((count, e) => count - (previous[s]?.[e] ?? 0)));
+  const increments = current.map((set, s) =>
+    set.map((count, e) => count - (previous[s]?.[e] ?? 0)),
+  );
   if (increments.some((set) => set.some((count) => count < 0))) {
     return null;
   }
@@ -62,6 +64,11 @@
  * tells the demand. Always the same ranks, for counts of a round must be of the same time.
  */
 export function sampledRanks(ranks: number, totalExperts: number): ReadonlySet<number> {
-  const sampleSize = Math.max(1, Math.min(ranks, Math.floor(MAX_ROUND_BYTES / Math.max(1, totalExperts))));
-  return new Set(Array.from({ length: sampleSize }, (_item, i) => Math.floor((i * ranks) / sampleSize)));
+  const sampleSize = Math.max(
+    1,
+    Math.min(ranks, Math.floor(MAX_ROUND_BYTES / Math.max(1, totalExperts))),
+  );
+  return new Set(
+    Array.from({ length: sampleSize }, (_item, i) => Math.floor((i * ranks) / sampleSize)),
+  );
 }
--- a/src/coordination/DemandEstimate.ts
+++ b/src/coordination/DemandEstimate.ts
@@ -99,7 +99,10 @@
  */
 function isShift({ intervals, averageDrift }: DemandState, interval: Interval): boolean {
   const expectedDrift = averageDrift ?? MAX_SHIFT_THRESHOLD;
-  const threshold = Math.min(MAX_SHIFT_THRESHOLD, Math.max(MIN_SHIFT_THRESHOLD, SHIFT_FACTOR * expectedDrift));
+  const threshold = Math.min(
+    MAX_SHIFT_THRESHOLD,
+    Math.max(MIN_SHIFT_THRESHOLD, SHIFT_FACTOR * expectedDrift),
+  );
   const newest = intervals.at(-1);
   return (
     (newest !== undefined && totalVariation(newest, interval) > MAX_SHIFT_THRESHOLD) ||
@@ -114,7 +117,8 @@
   }
   const newest = intervals.at(-1);
   const drift = newest === undefined ? averageDrift : driftBetween(newest, interval);
-  const nextAverage = drift === null ? null : (averageDrift ?? drift) * (1 - DRIFT_WEIGHT) + drift * DRIFT_WEIGHT;
+  const nextAverage =
+    drift === null ? null : (averageDrift ?? drift) * (1 - DRIFT_WEIGHT) + drift * DRIFT_WEIGHT;
   const kept = intervals.slice(1 - MAX_INTERVALS);
   return { ...state, intervals: [...kept, interval], averageDrift: nextAverage };
 }
--- a/src/coordination/DirectAttempts.ts
+++ b/src/coordination/DirectAttempts.ts
@@ -93,7 +93,9 @@
 function mayRequeue(failure: DirectFailure, progress: DirectProgress): boolean {
   const { isServiceDown, responseStarted, mayHaveRun, repeatable, sendCount, maxSends } = progress;
   const mayRunAgain = repeatable || (failure === 'notRun' && !mayHaveRun);
-  return isServiceDown && !responseStarted && mayRunAgain && failure !== 'failed' && sendCount < maxSends;
+  return (
+    isServiceDown && !responseStarted && mayRunAgain && failure !== 'failed' && sendCount < maxSends
+  );
 }
 
 /**
--- a/src/coordination/EndpointBackoffs.ts
+++ b/src/coordination/EndpointBackoffs.ts
@@ -36,7 +36,11 @@
   const known = backoffs.get(incarnationKey);
   const until = Math.max(known?.until ?? -Infinity, now + backoffMs);
   const lastAt = Math.max(known?.lastSendAt ?? -Infinity, until - INTERVAL_AFTER_BACKOFF_MS);
-  const next = new Map(backoffs).set(incarnationKey, { intervalMs: INTERVAL_AFTER_BACKOFF_MS, lastSendAt: lastAt, until });
+  const next = new Map(backoffs).set(incarnationKey, {
+    intervalMs: INTERVAL_AFTER_BACKOFF_MS,
+    lastSendAt: lastAt,
+    until,
+  });
   return next.size > MAX_BACKOFFS ? withoutEarliest(next) : next;
 }
 
--- a/src/coordination/EndpointCrashes.ts
+++ b/src/coordination/EndpointCrashes.ts
@@ -25,7 +25,9 @@
  */
 export function provesCrash(known: MemberRecord, update: MemberRecord): boolean {
   if (update.id !== known.id) {
-    return update.address === known.address && update.role === known.role && update.status === 'serving';
+    return (
+      update.address === known.address && update.role === known.role && update.status === 'serving'
+    );
   }
   return update.incarnation === known.incarnation
     ? update.status === 'gone' && update.version === known.version
@@ -116,7 +118,10 @@
   now: number,
 ): EndpointCrashesStep {
   if (state.crashed.has(incarnationKey)) {
-    return { state, outputs: [{ type: 'ended', incarnationKey, evidence: 'reported', suspects: [lost] }] };
+    return {
+      state,
+      outputs: [{ type: 'ended', incarnationKey, evidence: 'reported', suspects: [lost] }],
+    };
   }
   const known = state.pending.get(incarnationKey);
   const losses = [...(known?.losses ?? []), { lost, at: now }];
@@ -149,7 +154,11 @@
  * requests there would count as if they had ended an endpoint, and be refused for it. Enough: an endpoint that
  * takes a connection after the loss has outlived it. What was lost while the probe ran is probed for again.
  */
-function onOpen(state: EndpointCrashesState, incarnationKey: IncarnationKey, now: number): EndpointCrashesStep {
+function onOpen(
+  state: EndpointCrashesState,
+  incarnationKey: IncarnationKey,
+  now: number,
+): EndpointCrashesStep {
   const known = state.pending.get(incarnationKey);
   const probedAt = known?.probedAt ?? now;
   const later = (known?.losses ?? []).filter(({ at }) => at > probedAt);
--- a/src/coordination/EndpointLimits.ts
+++ b/src/coordination/EndpointLimits.ts
@@ -76,7 +76,14 @@
   const { life: incarnationKey, clock, perSecond, ageMs } = record;
   const known = state.get(incarnationKey);
   if (known === undefined) {
-    const limit = { life: incarnationKey, clock, perSecond, advertisedAt: now - ageMs, observedAt: -Infinity, observedPerSecond: null };
+    const limit = {
+      life: incarnationKey,
+      clock,
+      perSecond,
+      advertisedAt: now - ageMs,
+      observedAt: -Infinity,
+      observedPerSecond: null,
+    };
     return setLimit(state, limit);
   }
   if (clock < known.clock) {
@@ -120,12 +127,24 @@
   const known = state.get(incarnationKey);
   const observed = { observedAt: now, observedPerSecond: perSecond };
   if (known === undefined) {
-    return setLimit(state, { life: incarnationKey, clock: 1, perSecond, advertisedAt: now, ...observed });
+    return setLimit(state, {
+      life: incarnationKey,
+      clock: 1,
+      perSecond,
+      advertisedAt: now,
+      ...observed,
+    });
   }
   const isLater = sent.clock === known.clock && sent.at >= known.observedAt;
   const isDue = now - known.advertisedAt > CONFIRM_INTERVAL_MS;
   if (isLater && (isDue || perSecond !== known.perSecond)) {
-    return setLimit(state, { ...known, clock: known.clock + 1, perSecond, advertisedAt: now, ...observed });
+    return setLimit(state, {
+      ...known,
+      clock: known.clock + 1,
+      perSecond,
+      advertisedAt: now,
+      ...observed,
+    });
   }
   const strict = stricter(known.perSecond, perSecond);
   return setLimit(state, { ...known, perSecond: strict, ...observed });
@@ -169,7 +188,10 @@
 /** Stands for a whole set: two processes that hold the same have the same. 0 for an empty one. */
 export function hashLimits(state: LimitsState): number {
   const lines = [...state.values()]
-    .map(({ life: incarnationKey, clock, perSecond }) => `${incarnationKey} ${clock} ${perSecond ?? ''}`)
+    .map(
+      ({ life: incarnationKey, clock, perSecond }) =>
+        `${incarnationKey} ${clock} ${perSecond ?? ''}`,
+    )
     .sort();
   return lines.length === 0 ? 0 : hashText(lines.join('\n'));
 }
--- a/src/coordination/EngineIncarnations.ts
+++ b/src/coordination/EngineIncarnations.ts
@@ -24,7 +24,11 @@
  * The engine has ended under an attempt that it had taken. All attempts that were in progress then are lost to one
  * and the same life; one that began after the end was seen belongs to the next.
  */
-export function engineCrashed(current: EngineIncarnation, begunAt: number, now: number): EngineIncarnation {
+export function engineCrashed(
+  current: EngineIncarnation,
+  begunAt: number,
+  now: number,
+): EngineIncarnation {
   const { ordinal, crashedAt } = atAttempt(current, begunAt);
   return { ordinal, crashedAt: crashedAt ?? now };
 }
--- a/src/coordination/Gate.ts
+++ b/src/coordination/Gate.ts
@@ -16,7 +16,10 @@
   readonly incarnation: number;
   readonly phase: 'starting' | 'serving' | 'leaving';
   /** Attempts started and not ended. */
-  readonly running: ImmutableMap<AttemptKey, { readonly customer: string; readonly startedAt: number }>;
+  readonly running: ImmutableMap<
+    AttemptKey,
+    { readonly customer: string; readonly startedAt: number }
+  >;
   /** Attempts that have ended or were revoked, with when. */
   readonly closed: ImmutableMap<
     AttemptKey,
@@ -116,7 +119,8 @@
   now: number,
 ): GateStep {
   const known = state.closed.get(key);
-  const started = target !== state.incarnation || state.running.has(key) || known?.reason === 'ended';
+  const started =
+    target !== state.incarnation || state.running.has(key) || known?.reason === 'ended';
   if (started) {
     return { state, outputs: [{ type: 'revoked', key, state: 'started' }] };
   }
--- a/src/coordination/Lease.ts
+++ b/src/coordination/Lease.ts
@@ -57,7 +57,15 @@
 
 /** An endpoint process that knows nothing yet. */
 export function initLease(self: string, group: string, now: number): LeaseView {
-  return { self, group, held: null, seen: null, unchangedSince: now, requestedAt: null, nextRequestAt: now };
+  return {
+    self,
+    group,
+    held: null,
+    seen: null,
+    unchangedSince: now,
+    requestedAt: null,
+    nextRequestAt: now,
+  };
 }
 
 /**
--- a/src/coordination/LimitShare.ts
+++ b/src/coordination/LimitShare.ts
@@ -39,7 +39,9 @@
   hosts: readonly string[],
 ): readonly string[] {
   const count = MIN_SENDERS + Math.floor((perSecond * EXTRA_SENDERS_WINDOW_MS) / 1_000);
-  return count >= hosts.length ? hosts : rendezvousOrder(hashText(incarnationKey), hosts).slice(0, count);
+  return count >= hosts.length
+    ? hosts
+    : rendezvousOrder(hashText(incarnationKey), hosts).slice(0, count);
 }
 
 /** The pace of one host's requests to one endpoint (a leaky bucket of one request). */
@@ -66,7 +68,11 @@
  * The pace once its interval may have changed. One that has just become a sender waits a whole interval: it may have
  * sent just before.
  */
-export function updateInterval(rate: SendRate | undefined, intervalMs: number, now: number): SendRate {
+export function updateInterval(
+  rate: SendRate | undefined,
+  intervalMs: number,
+  now: number,
+): SendRate {
   if (rate === undefined || rate.intervalMs === Infinity) {
     return { intervalMs, lastSendAt: now };
   }
--- a/src/coordination/MapCommit.ts
+++ b/src/coordination/MapCommit.ts
@@ -189,7 +189,11 @@
     outputs: [{ type: 'changed', version: state.version }],
   }),
   aborting: (state) => ({
-    state: { ...state, phase: 'ready', version: Math.min(...receivedStatuses(state).map((s) => s.version)) },
+    state: {
+      ...state,
+      phase: 'ready',
+      version: Math.min(...receivedStatuses(state).map((s) => s.version)),
+    },
     outputs: [{ type: 'aborted', version: state.version }],
   }),
 };
--- a/src/coordination/MapDiff.ts
+++ b/src/coordination/MapDiff.ts
@@ -13,7 +13,8 @@
   return after.flatMap((ranks, set) =>
     ranks.flatMap((experts, rank) => {
       const previous = before[set]?.[rank] ?? [];
-      const same = previous.length === experts.length && previous.every((id, i) => id === experts[i]);
+      const same =
+        previous.length === experts.length && previous.every((id, i) => id === experts[i]);
       return same ? [] : [{ set, rank, experts }];
     }),
   );
--- a/src/coordination/MapPlan.ts
+++ b/src/coordination/MapPlan.ts
@@ -83,7 +83,9 @@
   { maxCopiesPerRank, gainPerCopy }: MapPolicy,
   slowdowns: readonly number[] = [],
 ): PlannedMap {
-  const sets = currentMap.map((ranks, set) => new MapPlanSet(ranks, expertLoads[set] ?? [], slowdowns));
+  const sets = currentMap.map(
+    (ranks, set) => new MapPlanSet(ranks, expertLoads[set] ?? [], slowdowns),
+  );
   const skewBefore = meanSkew(sets);
   if (gainPerCopy === Infinity) {
     return { map: currentMap, copies: 0, skewBefore, skewAfter: skewBefore };
@@ -91,7 +93,8 @@
   const ranks = currentMap[0]?.length ?? 0;
   const plannedCopies = new Uint32Array(ranks);
   const mayCopy = ({ copiesByRank }: MapPlanSet, rank: number): boolean =>
-    (copiesByRank[rank] ?? 0) < shape.maxNewExperts && (plannedCopies[rank] ?? 0) < maxCopiesPerRank;
+    (copiesByRank[rank] ?? 0) < shape.maxNewExperts &&
+    (plannedCopies[rank] ?? 0) < maxCopiesPerRank;
   const limits = { slotsPerRank: shape.slotsPerRank, mayCopy, gainPerCopy };
   balanceSets(sets, new MapPlanSearch(ranks, limits), (rank) => {
     plannedCopies[rank] = (plannedCopies[rank] ?? 0) + 1;
--- a/src/coordination/MapPlanSearch.ts
+++ b/src/coordination/MapPlanSearch.ts
@@ -200,6 +200,8 @@
   #takeDelta(set: MapPlanSet, rank: number): number {
     const loadDelta = this.#loadDeltas[rank] ?? 0;
     this.#loadDeltas[rank] = 0;
-    return loadDelta === 0 ? 0 : peakTerm((set.rankLoads[rank] ?? 0) + loadDelta) - (set.peakTerms[rank] ?? 0);
+    return loadDelta === 0
+      ? 0
+      : peakTerm((set.rankLoads[rank] ?? 0) + loadDelta) - (set.peakTerms[rank] ?? 0);
   }
 }
--- a/src/coordination/MapPlanSet.ts
+++ b/src/coordination/MapPlanSet.ts
@@ -69,16 +69,23 @@
     this.#currentMap = currentMap;
     this.expertsByRank = currentMap.map((row) => [...new Set(row)]);
     this.ranksByExpert = Array.from({ length: Math.max(expectedLoads.length, experts) }, () => []);
-    this.expertsByRank.forEach((row, rank) => row.forEach((expert) => this.ranksByExpert[expert]?.push(rank)));
+    this.expertsByRank.forEach((row, rank) =>
+      row.forEach((expert) => this.ranksByExpert[expert]?.push(rank)),
+    );
     this.copiesByRank = new Uint16Array(currentMap.length);
-    this.slowdowns = new Float64Array(currentMap.map((_held, rank) => slowdownOf(rankSlowdowns, rank)));
-    const held = this.ranksByExpert.map((ranks, e) => (ranks.length > 0 ? (expectedLoads[e] ?? 0) : 0));
+    this.slowdowns = new Float64Array(
+      currentMap.map((_held, rank) => slowdownOf(rankSlowdowns, rank)),
+    );
+    const held = this.ranksByExpert.map((ranks, e) =>
+      ranks.length > 0 ? (expectedLoads[e] ?? 0) : 0,
+    );
     const mean = held.reduce((sum, weight) => sum + weight, 0) / Math.max(1, currentMap.length);
     this.expertLoads = new Float64Array(held.map((weight) => (mean === 0 ? 0 : weight / mean)));
     this.rankLoads = new Float64Array(
       this.expertsByRank.map(
         (row, rank) =>
-          row.reduce((load, expert) => load + this.loadPerReplica(expert), 0) * this.slowdownAt(rank),
+          row.reduce((load, expert) => load + this.loadPerReplica(expert), 0) *
+          this.slowdownAt(rank),
       ),
     );
     this.peakTerms = this.rankLoads.map(peakTerm);
--- a/src/coordination/MapSwitch.ts
+++ b/src/coordination/MapSwitch.ts
@@ -121,7 +121,10 @@
   const nextOrderAt = [...state.nextOrderAt];
   const outputs = state.reports.flatMap((received, rank): readonly MapSwitchOutput[] => {
     const isWaiting = now < (nextOrderAt[rank] ?? -Infinity);
-    const isCurrent = received !== null && received.receivedAt >= state.validSince && received.report.epoch === state.epoch;
+    const isCurrent =
+      received !== null &&
+      received.receivedAt >= state.validSince &&
+      received.report.epoch === state.epoch;
     const order = isWaiting || !isCurrent ? null : selectOrder(state, received.report, rank);
     if (order === null) {
       return [];
@@ -133,7 +136,8 @@
 }
 
 function choosePass(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
-  const leadPasses = state.unansweredOrders >= LOSSY_UNANSWERED_ORDERS ? LOSSY_LEAD_PASSES : LEAD_PASSES;
+  const leadPasses =
+    state.unansweredOrders >= LOSSY_UNANSWERED_ORDERS ? LOSSY_LEAD_PASSES : LEAD_PASSES;
   // Each pass is used once: a late order for an earlier try must find that it has begun.
   const step = Math.max(latestStep(reports) + leadPasses, state.step + 1);
   return enterPhase({ ...state, step }, 'holding');
@@ -155,7 +159,10 @@
   if (reports.some(({ mapVersion }) => mapVersion !== state.version)) {
     return { state, outputs: [] };
   }
-  const step = enterPhase({ ...state, unansweredOrders: Math.max(0, state.unansweredOrders - 1) }, 'idle');
+  const step = enterPhase(
+    { ...state, unansweredOrders: Math.max(0, state.unansweredOrders - 1) },
+    'idle',
+  );
   const { version, startedAt } = state;
   return {
     state: step.state,
@@ -189,7 +196,9 @@
     if (reports.every(({ prepared }) => prepared === state.version)) {
       return choosePass(state, reports);
     }
-    return now - state.startedAt > PREPARE_TIMEOUT_MS ? abandonVersion(state) : { state, outputs: [] };
+    return now - state.startedAt > PREPARE_TIMEOUT_MS
+      ? abandonVersion(state)
+      : { state, outputs: [] };
   },
   holding: (state, reports) => {
     if (reports[state.ownRank]?.heldStep === state.step) {
@@ -244,7 +253,9 @@
   }
   const step: MapSwitchStep =
     report.epoch > state.epoch ? onEpoch(state, report.epoch, now) : { state, outputs: [] };
-  const reports = step.state.reports.map((received, i) => (i === rank ? { report, receivedAt: now } : received));
+  const reports = step.state.reports.map((received, i) =>
+    i === rank ? { report, receivedAt: now } : received,
+  );
   return proceed({ ...step, state: { ...step.state, reports } }, now);
 }
 
@@ -270,7 +281,10 @@
   state: MapSwitchState,
   { rank, result }: Extract<MapSwitchInput, { type: 'answer' }>,
 ): MapSwitchStep {
-  const unansweredOrders = result === 'unknown' ? Math.min(2 * LOSSY_UNANSWERED_ORDERS, state.unansweredOrders + 1) : state.unansweredOrders;
+  const unansweredOrders =
+    result === 'unknown'
+      ? Math.min(2 * LOSSY_UNANSWERED_ORDERS, state.unansweredOrders + 1)
+      : state.unansweredOrders;
   // The next report tells whether it is lacking still; one that failed at once isn't repeated at once.
   const nextOrderAt = state.nextOrderAt.map((at, i) =>
     i === rank && result === 'unknown' ? null : at,
@@ -297,7 +311,10 @@
       : { state, outputs: [] },
   propose: (state, { map }, now) =>
     state.phase === 'idle'
-      ? proceed(enterPhase({ ...state, ...nextAttempt(state), map, startedAt: now }, 'preparing'), now)
+      ? proceed(
+          enterPhase({ ...state, ...nextAttempt(state), map, startedAt: now }, 'preparing'),
+          now,
+        )
       : { state, outputs: [] },
   tick: (state, _input, now) => proceed({ state, outputs: [] }, now),
 };
--- a/src/coordination/MapSwitchOrders.ts
+++ b/src/coordination/MapSwitchOrders.ts
@@ -5,7 +5,9 @@
 /** Reports of all ranks, if each has one of this epoch; null otherwise. */
 export function completeReports(state: MapSwitchState): readonly RankReport[] | null {
   const reports = state.reports.flatMap((received) =>
-    received !== null && received.receivedAt >= state.validSince && received.report.epoch === state.epoch
+    received !== null &&
+    received.receivedAt >= state.validSince &&
+    received.report.epoch === state.epoch
       ? [received.report]
       : [],
   );
@@ -19,7 +21,11 @@
     : { kind: 'prepare', epoch, version, map };
 }
 
-type OrderSelector = (state: MapSwitchState, report: RankReport, rank: number) => EngineOrder | null;
+type OrderSelector = (
+  state: MapSwitchState,
+  report: RankReport,
+  rank: number,
+) => EngineOrder | null;
 
 function voidOrder(state: MapSwitchState, report: RankReport, rank: number): EngineOrder | null {
   const { epoch } = state;
@@ -78,7 +84,11 @@
  */
 export function awaitsReport(state: MapSwitchState, rank: number): boolean {
   const received = state.reports[rank] ?? null;
-  if (received === null || received.receivedAt < state.validSince || received.report.epoch !== state.epoch) {
+  if (
+    received === null ||
+    received.receivedAt < state.validSince ||
+    received.report.epoch !== state.epoch
+  ) {
     return state.phase !== 'off';
   }
   return AWAITS_REPORT_BY_PHASE[state.phase]?.(state, received.report, rank) ?? false;
--- a/src/coordination/PassMonitor.ts
+++ b/src/coordination/PassMonitor.ts
@@ -48,7 +48,11 @@
   const progressAt = hasProgressed ? now : state.progressAt;
   const observed = { ...state, active, lastStep: step, reportedAt: now, progressAt };
   const { measuredFrom } = state;
-  if (measuredFrom === null || step < measuredFrom.step || now - state.reportedAt > MAX_REPORT_GAP_MS) {
+  if (
+    measuredFrom === null ||
+    step < measuredFrom.step ||
+    now - state.reportedAt > MAX_REPORT_GAP_MS
+  ) {
     return { ...observed, measuredFrom: { step, at: now }, passMs: null };
   }
   const elapsedMs = now - measuredFrom.at;
--- a/src/coordination/Placement.ts
+++ b/src/coordination/Placement.ts
@@ -104,7 +104,12 @@
   speeds: readonly number[],
 ): number[] {
   const next = [...loads];
-  const changeReplicas = (expert: number, rank: number, adds: boolean, ranksHolding: Set<number>): void => {
+  const changeReplicas = (
+    expert: number,
+    rank: number,
+    adds: boolean,
+    ranksHolding: Set<number>,
+  ): void => {
     const expertLoad = load[expert] ?? 0;
     const before = expertLoad / Math.max(1, ranksHolding.size);
     const after = expertLoad / Math.max(1, ranksHolding.size + (adds ? 1 : -1));
@@ -130,7 +135,11 @@
   return next;
 }
 
-function applyMoves(working: WorkingMap, moves: readonly PlacementMove[], loads: number[]): WorkingMap {
+function applyMoves(
+  working: WorkingMap,
+  moves: readonly PlacementMove[],
+  loads: number[],
+): WorkingMap {
   const slots = working.slots.map((row) => [...row]);
   const holders = [...working.holders];
   moves.forEach(({ rank, slot, expert }) => {
@@ -155,8 +164,14 @@
     return (slots[cold] ?? []).flatMap((replaced, slot) => {
       const replacement: PlacementMove = { rank: cold, slot, expert };
       const hasOtherReplica = (holders[replaced]?.size ?? 0) > 1;
-      const swap: readonly PlacementMove[] = [replacement, { rank: hot, slot: from, expert: replaced }];
-      return [...(hasOtherReplica ? [[replacement]] : []), ...(holders[replaced]?.has(hot) ? [] : [swap])];
+      const swap: readonly PlacementMove[] = [
+        replacement,
+        { rank: hot, slot: from, expert: replaced },
+      ];
+      return [
+        ...(hasOtherReplica ? [[replacement]] : []),
+        ...(holders[replaced]?.has(hot) ? [] : [swap]),
+      ];
     });
   });
 }
@@ -179,7 +194,9 @@
   estimate: PlacementEstimate,
   policy: PlacementPolicy,
 ): Candidate | null {
-  const ranksByLoad = working.loads.map((load, rank) => ({ load, rank })).sort((a, b) => b.load - a.load);
+  const ranksByLoad = working.loads
+    .map((load, rank) => ({ load, rank }))
+    .sort((a, b) => b.load - a.load);
   const hot = ranksByLoad[0]?.rank ?? 0;
   const before = peak(working.loads);
   let best: Candidate | null = null;
@@ -187,7 +204,8 @@
     const options = cold === hot ? [] : candidateMoves(working, hot, cold);
     options.forEach((moves) => {
       const after = peak(loadsAfter(working, moves, estimate.mean, policy.speeds));
-      const gain = before - after - UNCERTAINTY_FACTOR * uncertainty(working, moves, estimate.variance);
+      const gain =
+        before - after - UNCERTAINTY_FACTOR * uncertainty(working, moves, estimate.variance);
       if (gain > 0 && (best === null || gain / moves.length > best.gain / best.moves.length)) {
         best = { moves, gain };
       }
--- a/src/coordination/PlacementEstimate.ts
+++ b/src/coordination/PlacementEstimate.ts
@@ -31,7 +31,10 @@
 /** A topic shift shows as errors far beyond the noise, over all experts at once. */
 function isLoadShift(estimate: PlacementEstimate, shares: readonly number[]): boolean {
   const expectedError = estimate.variance.reduce((sum, variance) => sum + variance, 0);
-  const squaredError = shares.reduce((sum, share, i) => sum + (share - (estimate.mean[i] ?? 1)) ** 2, 0);
+  const squaredError = shares.reduce(
+    (sum, share, i) => sum + (share - (estimate.mean[i] ?? 1)) ** 2,
+    0,
+  );
   return estimate.intervals > 2 && squaredError > SHIFT_ERROR_RATIO * expectedError;
 }
 
@@ -49,7 +52,8 @@
     variance: estimate.variance.map((variance, i) =>
       estimate.intervals === 0
         ? 0
-        : (1 - steadyWeight) * variance + steadyWeight * Math.min((errors[i] ?? 0) ** 2, 4 * variance + 0.01),
+        : (1 - steadyWeight) * variance +
+          steadyWeight * Math.min((errors[i] ?? 0) ** 2, 4 * variance + 0.01),
     ),
     intervals: estimate.intervals + 1,
   };
--- a/src/coordination/Quarantine.ts
+++ b/src/coordination/Quarantine.ts
@@ -182,7 +182,10 @@
   now: number,
 ): readonly QuarantineNews[] {
   const hash = hashQuarantine(state);
-  const records = suspects.map(({ lastCrashAt, ...record }) => ({ ...record, ageMs: now - lastCrashAt }));
+  const records = suspects.map(({ lastCrashAt, ...record }) => ({
+    ...record,
+    ageMs: now - lastCrashAt,
+  }));
   const messages = Math.max(1, Math.ceil(records.length / MAX_RECORDS_PER_MESSAGE));
   return Array.from({ length: messages }, (_item, i) => ({
     records: records.slice(i * MAX_RECORDS_PER_MESSAGE, (i + 1) * MAX_RECORDS_PER_MESSAGE),
--- a/src/coordination/Rollout.ts
+++ b/src/coordination/Rollout.ts
@@ -105,7 +105,9 @@
   if (mustWait || state.config.index === 0) {
     return { state, outputs: [] };
   }
-  const outdated = [...state.subscribers.values()].filter(({ sentIndex }) => sentIndex < state.config.index);
+  const outdated = [...state.subscribers.values()].filter(
+    ({ sentIndex }) => sentIndex < state.config.index,
+  );
   if (outdated.length === 0) {
     return { state, outputs: [] };
   }
@@ -174,7 +176,10 @@
   const known = state.subscribers.get(id);
   return known === undefined
     ? { state, outputs: [] }
-    : pushUpdates({ ...state, subscribers: new Map(state.subscribers).set(id, { ...known, sentIndex: held }) });
+    : pushUpdates({
+        ...state,
+        subscribers: new Map(state.subscribers).set(id, { ...known, sentIndex: held }),
+      });
 }
 
 type Handlers = {
--- a/src/coordination/Routing.ts
+++ b/src/coordination/Routing.ts
@@ -53,7 +53,9 @@
 
 function findEndpoint(state: RoutingState, id: string): RoutingEndpoint | undefined {
   const position = state.positions.get(id);
-  return position === undefined ? undefined : state.services.get(position.service)?.[position.index];
+  return position === undefined
+    ? undefined
+    : state.services.get(position.service)?.[position.index];
 }
 
 /** Keeps what is known of an endpoint as long as it is the same incarnation. */
--- a/src/coordination/StreamQueue.ts
+++ b/src/coordination/StreamQueue.ts
@@ -83,7 +83,12 @@
  * A caller that came back is late already, has no further try, and has little time left; a new one that
  * gives way to it may still be answered late, or come back itself. Once no queue is left nobody gives way.
  */
-function compareUrgency(a: WaitingRequest, b: WaitingRequest, forecast: QueueForecast, now: number): number {
+function compareUrgency(
+  a: WaitingRequest,
+  b: WaitingRequest,
+  forecast: QueueForecast,
+  now: number,
+): number {
   if (a.isCallerRetry !== b.isCallerRetry) {
     return a.isCallerRetry ? -1 : 1;
   }
--- a/src/coordination/__tests__/unit/ConfigFreshness.test.ts
+++ b/src/coordination/__tests__/unit/ConfigFreshness.test.ts
@@ -1,6 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { receiveConfig, isFresh, receiveNewestIndex, UNPROVEN, type ClockReading } from '../../index.js';
+import {
+  receiveConfig,
+  isFresh,
+  receiveNewestIndex,
+  UNPROVEN,
+  type ClockReading,
+} from '../../index.js';
 
 const LEASE_MS = 4_600;
 
--- a/src/coordination/__tests__/unit/Consensus.test.ts
+++ b/src/coordination/__tests__/unit/Consensus.test.ts
@@ -50,7 +50,9 @@
         const before = new Map(cluster.committed);
         cluster.runUntil(() => cluster.leader !== undefined);
         cluster.input(cluster.leader?.id ?? '', { type: 'propose', id: 'x', command: 'last' });
-        cluster.runUntil(() => [...cluster.committed.values()].some((text) => text.includes('last')));
+        cluster.runUntil(() =>
+          [...cluster.committed.values()].some((text) => text.includes('last')),
+        );
         before.forEach((text, index) => assert.equal(cluster.committed.get(index), text));
       }),
       { seed: 20_261_202, numRuns: 300 },
@@ -101,7 +103,9 @@
       const begun = cluster.now;
       cluster.runUntil(() => {
         const up = Math.floor((cluster.now - begun) / Math.max(1, gapMs));
-        voters.filter((id, i) => i <= up && cluster.isIsolated(id)).forEach((id) => cluster.reconnectAndRestart(id));
+        voters
+          .filter((id, i) => i <= up && cluster.isIsolated(id))
+          .forEach((id) => cluster.reconnectAndRestart(id));
         return cluster.leader !== undefined;
       });
       return cluster.now - (begun + 2 * gapMs);
--- a/src/coordination/__tests__/unit/DemandEstimate.test.ts
+++ b/src/coordination/__tests__/unit/DemandEstimate.test.ts
@@ -130,7 +130,10 @@
   // as if nobody wanted them.
   it('starts anew with a rank whose counts went back', () => {
     const before = runIntervals(initDemand(2), ZERO, [1, 1, 1]);
-    const restarted = recordCounts(before.state, [[addInterval(before.counts, 1)], [addInterval(ZERO, 1)]]);
+    const restarted = recordCounts(before.state, [
+      [addInterval(before.counts, 1)],
+      [addInterval(ZERO, 1)],
+    ]);
     const [load = []] = expectedLoad(restarted) ?? [];
     assert.ok(load.every((share) => share >= 0));
     assert.equal(load.indexOf(Math.max(...load)), 1);
--- a/src/coordination/__tests__/unit/DirectAttempts.test.ts
+++ b/src/coordination/__tests__/unit/DirectAttempts.test.ts
@@ -50,9 +50,18 @@
   });
 
   it('resumes a stream that has begun, or cuts it', () => {
-    assert.equal(judge('broken', { responseStarted: true, canResume: true, repeatable: true }), 'retry');
-    assert.equal(judge('broken', { responseStarted: true, canResume: false, repeatable: true }), 'cut');
-    assert.equal(judge('broken', { responseStarted: true, canResume: true, repeatable: true }, false), 'cut');
+    assert.equal(
+      judge('broken', { responseStarted: true, canResume: true, repeatable: true }),
+      'retry',
+    );
+    assert.equal(
+      judge('broken', { responseStarted: true, canResume: false, repeatable: true }),
+      'cut',
+    );
+    assert.equal(
+      judge('broken', { responseStarted: true, canResume: true, repeatable: true }, false),
+      'cut',
+    );
   });
 
   it('asks the budget only where a retry would follow, and never for what was not sent', () => {
--- a/src/coordination/__tests__/unit/EndpointBackoffs.test.ts
+++ b/src/coordination/__tests__/unit/EndpointBackoffs.test.ts
@@ -1,6 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { dropExpiredBackoffs, MAX_BACKOFFS, recordBackoff, type EndpointBackoffs } from '../../EndpointBackoffs.js';
+import {
+  dropExpiredBackoffs,
+  MAX_BACKOFFS,
+  recordBackoff,
+  type EndpointBackoffs,
+} from '../../EndpointBackoffs.js';
 import { sendWaitMs, reserveSendSlot } from '../../LimitShare.js';
 
 const INCARNATION_KEY = 'i-1@1';
@@ -24,7 +29,10 @@
     const backoff = backoffs.get(INCARNATION_KEY);
     assert.ok(backoff !== undefined);
     const waits = [1, 2, 3].reduce<{ at: number[]; backoff: typeof backoff }>(
-      ({ at, backoff: before }) => ({ at: [...at, sendWaitMs(before, 0)], backoff: reserveSendSlot(before, 0) }),
+      ({ at, backoff: before }) => ({
+        at: [...at, sendWaitMs(before, 0)],
+        backoff: reserveSendSlot(before, 0),
+      }),
       { at: [], backoff },
     );
     assert.deepEqual(waits.at, [1_000, 1_025, 1_050]);
--- a/src/coordination/__tests__/unit/EndpointCrashes.test.ts
+++ b/src/coordination/__tests__/unit/EndpointCrashes.test.ts
@@ -13,7 +13,11 @@
 const INCARNATION_KEY = 'i-1@7';
 
 function lost(request: string): EndpointCrashesInput {
-  return { type: 'lost', incarnationKey: INCARNATION_KEY, lost: { digest: `d-${request}`, customer: 'kano', request } };
+  return {
+    type: 'lost',
+    incarnationKey: INCARNATION_KEY,
+    lost: { digest: `d-${request}`, customer: 'kano', request },
+  };
 }
 
 /** Plays inputs, each with its time in ms; what came out, a request by its id. */
@@ -30,9 +34,21 @@
   });
 }
 
-const REFUSED: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'refused' };
-const OPEN: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'open' };
-const UNKNOWN: EndpointCrashesInput = { type: 'probed', incarnationKey: INCARNATION_KEY, result: 'unknown' };
+const REFUSED: EndpointCrashesInput = {
+  type: 'probed',
+  incarnationKey: INCARNATION_KEY,
+  result: 'refused',
+};
+const OPEN: EndpointCrashesInput = {
+  type: 'probed',
+  incarnationKey: INCARNATION_KEY,
+  result: 'open',
+};
+const UNKNOWN: EndpointCrashesInput = {
+  type: 'probed',
+  incarnationKey: INCARNATION_KEY,
+  result: 'unknown',
+};
 const CRASHED: EndpointCrashesInput = { type: 'ended', incarnationKey: INCARNATION_KEY };
 
 const RECORD: MemberRecord = {
@@ -48,7 +64,10 @@
 describe('ends of endpoints', () => {
   it('are held against all that was in progress there, once it is known', () => {
     assert.deepEqual(play([0, lost('a')], [1, lost('b')], [3, REFUSED]), ['probe', 'refused: a b']);
-    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [3_000, CRASHED]), ['probe', 'reported: a']);
+    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [3_000, CRASHED]), [
+      'probe',
+      'reported: a',
+    ]);
   });
 
   it('are known for what is noticed later', () => {
@@ -74,9 +93,10 @@
 
   it('that are reported long after the loss have nothing to do with it', () => {
     const late = PENDING_LOSS_MS + 1;
-    assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [late, { type: 'tick' }], [late, CRASHED]), [
-      'probe',
-    ]);
+    assert.deepEqual(
+      play([0, lost('a')], [9, UNKNOWN], [late, { type: 'tick' }], [late, CRASHED]),
+      ['probe'],
+    );
   });
 
   it('are proven by a lease that ran out, a later life or another endpoint at the address', () => {
--- a/src/coordination/__tests__/unit/Gate.test.ts
+++ b/src/coordination/__tests__/unit/Gate.test.ts
@@ -1,6 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { initGate, CLOSED_ATTEMPT_TTL_MS, stepGate, type GateInput, type GateState } from '../../index.js';
+import {
+  initGate,
+  CLOSED_ATTEMPT_TTL_MS,
+  stepGate,
+  type GateInput,
+  type GateState,
+} from '../../index.js';
 
 const attempt = (key: string, target = 1): GateInput => ({
   type: 'attempt',
--- a/src/coordination/__tests__/unit/LimitShare.test.ts
+++ b/src/coordination/__tests__/unit/LimitShare.test.ts
@@ -55,7 +55,8 @@
 
   // Guards against: a check that would pass whatever the hosts did.
   it('are told from hosts that each keep the limit, and from an even part for each of many', () => {
-    const most = (strategy: LimitsScenario['strategy']): number => simulateLimits({ ...SHAPE, strategy }, SEED).maxArrivals;
+    const most = (strategy: LimitsScenario['strategy']): number =>
+      simulateLimits({ ...SHAPE, strategy }, SEED).maxArrivals;
     const allowed = allowedArrivals(SHAPE.perSecond);
     assert.ok(most('alone') > allowed);
     assert.ok(most('even') > allowed);
--- a/src/coordination/__tests__/unit/MapPlan.test.ts
+++ b/src/coordination/__tests__/unit/MapPlan.test.ts
@@ -148,7 +148,10 @@
   it('changes nothing where nothing is gained', () => {
     const even = [0, 1, 2].map(() => Array.from({ length: EXPERTS }, () => 1));
     assert.equal(planMap(INITIAL_MAP, even, SHAPE, POLICY).copies, 0);
-    assert.equal(planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, { ...POLICY, gainPerCopy: Infinity }).copies, 0);
+    assert.equal(
+      planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, { ...POLICY, gainPerCopy: Infinity }).copies,
+      0,
+    );
   });
 
   it('keeps to the copies that a rank may make in one change', () => {
@@ -189,7 +192,13 @@
   it('gives a slow rank less of the load', () => {
     const even = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
     const slowdowns = INITIAL_MAP[0]?.map((_experts, rank) => (rank === 0 ? 2 : 1)) ?? [];
-    const unchanged = planMap(even.map, EXPERT_LOADS, SHAPE, { ...POLICY, gainPerCopy: Infinity }, slowdowns);
+    const unchanged = planMap(
+      even.map,
+      EXPERT_LOADS,
+      SHAPE,
+      { ...POLICY, gainPerCopy: Infinity },
+      slowdowns,
+    );
     const planned = planMap(even.map, EXPERT_LOADS, SHAPE, POLICY, slowdowns);
     assert.ok(unchanged.skewBefore > 1.5);
     assert.ok(planned.skewAfter < unchanged.skewBefore - 0.2);
@@ -215,7 +224,13 @@
   it('takes from a slow rank at once what others hold too', () => {
     const inUse: GroupMap = [[[0, 1], [0, 2], [3]]];
     const noCopies: MapPolicy = { maxCopiesPerRank: 0, gainPerCopy: 0.004 };
-    const planned = planMap(inUse, [[4, 1, 1, 1]], { slotsPerRank: 3, maxNewExperts: 2 }, noCopies, [12]);
+    const planned = planMap(
+      inUse,
+      [[4, 1, 1, 1]],
+      { slotsPerRank: 3, maxNewExperts: 2 },
+      noCopies,
+      [12],
+    );
     assert.deepEqual([planned.map, planned.copies], [[[[1], [0, 2], [3]]], 0]);
   });
 });
--- a/src/coordination/__tests__/unit/PassMonitor.test.ts
+++ b/src/coordination/__tests__/unit/PassMonitor.test.ts
@@ -14,7 +14,10 @@
 
 /** State after reports of (time, pass) in turn. */
 function observeAll(...seen: readonly (readonly [number, number])[]): PassMonitor {
-  return seen.reduce((state, [at, step]) => observeReport(state, { ...REPORT, step }, at), INITIAL_PASS_MONITOR);
+  return seen.reduce(
+    (state, [at, step]) => observeReport(state, { ...REPORT, step }, at),
+    INITIAL_PASS_MONITOR,
+  );
 }
 
 describe('PassWatch', () => {
--- a/src/coordination/__tests__/unit/Placement.test.ts
+++ b/src/coordination/__tests__/unit/Placement.test.ts
@@ -41,7 +41,11 @@
 
 describe('decidePlacement', () => {
   it('lowers the skew of a skewed load', () => {
-    const { skewBefore, skewAfter, reason } = decidePlacement(MAP, estimateFrom(zipf(0), 8), policy(0.8));
+    const { skewBefore, skewAfter, reason } = decidePlacement(
+      MAP,
+      estimateFrom(zipf(0), 8),
+      policy(0.8),
+    );
     assert.equal(reason, 'improved');
     assert.ok(skewBefore > 2 && skewAfter < 1.25, `${skewBefore} -> ${skewAfter}`);
   });
--- a/src/coordination/__tests__/unit/Quarantine.test.ts
+++ b/src/coordination/__tests__/unit/Quarantine.test.ts
@@ -69,7 +69,11 @@
     } else if (event.kind === 'clear') {
       states[event.at] = clearSuspect(state, event.digest).state;
     } else {
-      states[event.to] = mergeSuspectRecords(states[event.to] ?? EMPTY_QUARANTINE, allRecordsOf(state), 0).state;
+      states[event.to] = mergeSuspectRecords(
+        states[event.to] ?? EMPTY_QUARANTINE,
+        allRecordsOf(state),
+        0,
+      ).state;
     }
   });
   return states;
@@ -82,7 +86,8 @@
 ): readonly QuarantineState[] {
   return states.map((state) =>
     order.reduce(
-      (known, from) => mergeSuspectRecords(known, allRecordsOf(states[from] ?? EMPTY_QUARANTINE), 0).state,
+      (known, from) =>
+        mergeSuspectRecords(known, allRecordsOf(states[from] ?? EMPTY_QUARANTINE), 0).state,
       state,
     ),
   );
@@ -106,10 +111,18 @@
 
   it('are forgotten after their time, which no news makes longer', () => {
     const state = withCrashes(['i-1', 'a']);
-    const received = mergeSuspectRecords(EMPTY_QUARANTINE, allRecordsOf(state, SUSPECT_RETENTION_MS - 10), 0).state;
+    const received = mergeSuspectRecords(
+      EMPTY_QUARANTINE,
+      allRecordsOf(state, SUSPECT_RETENTION_MS - 10),
+      0,
+    ).state;
     assert.equal(dropExpiredSuspects(received, 9).size, 1);
     assert.equal(dropExpiredSuspects(received, 10).size, 0);
-    assert.equal(mergeSuspectRecords(EMPTY_QUARANTINE, allRecordsOf(state, SUSPECT_RETENTION_MS), 0).state.size, 0);
+    assert.equal(
+      mergeSuspectRecords(EMPTY_QUARANTINE, allRecordsOf(state, SUSPECT_RETENTION_MS), 0).state
+        .size,
+      0,
+    );
     const again = mergeSuspectRecords(state, allRecordsOf(received, 0), 0).state;
     assert.equal(dropExpiredSuspects(again, 10).size, 0);
   });
--- a/src/coordination/__tests__/unit/Rollout.test.ts
+++ b/src/coordination/__tests__/unit/Rollout.test.ts
@@ -76,7 +76,10 @@
   // they hold, and then serves what it has, so that the AZ goes on.
   it('serves what it holds once it has waited in a cut-off AZ', () => {
     const { state } = run([config(7), subscribe(member('e1'))]);
-    assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS - 1).outputs), []);
+    assert.deepEqual(
+      sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS - 1).outputs),
+      [],
+    );
     assert.deepEqual(sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS).outputs), [
       'phase cutOff',
       'e1 0>7',
--- a/src/coordination/__tests__/unit/StreamQueue.test.ts
+++ b/src/coordination/__tests__/unit/StreamQueue.test.ts
@@ -81,7 +81,12 @@
     const queue = waitAll([request(1, { ...back, tokens: 350, likelyTokens: 60 })], closed);
     const waiting = admitWaiting(queue, closed, 1_500, 0.5);
     assert.deepEqual(waiting.refused, []);
-    const opened = admitWaiting(waiting.queue, { ...closed, ratePerMs: 0.005, free: 1 }, 1_600, 0.5);
+    const opened = admitWaiting(
+      waiting.queue,
+      { ...closed, ratePerMs: 0.005, free: 1 },
+      1_600,
+      0.5,
+    );
     assert.deepEqual(opened.admitted, [1]);
   });
 
@@ -131,7 +136,10 @@
 
   it('refuses at once while a group is down what has no patience left for its opening', () => {
     const down = { ...BUSY, ratePerMs: 0 };
-    assert.equal(enqueue([], request(1, { firstEventDeadline: 100 }), down, 0, 0.5).refused.length, 1);
+    assert.equal(
+      enqueue([], request(1, { firstEventDeadline: 100 }), down, 0, 0.5).refused.length,
+      1,
+    );
     const short = request(2, { deadline: 1_900 });
     assert.equal(enqueue([], short, down, 0, 0.5).refused.length, 1);
   });
--- a/src/coordination/__tests__/unit/TokenBucket.test.ts
+++ b/src/coordination/__tests__/unit/TokenBucket.test.ts
@@ -1,6 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { BUDGET_BYTES_PER_SECOND, initTokenBucket, INITIAL_BUCKET_BYTES, takeBytes } from '../../index.js';
+import {
+  BUDGET_BYTES_PER_SECOND,
+  initTokenBucket,
+  INITIAL_BUCKET_BYTES,
+  takeBytes,
+} from '../../index.js';
 
 describe('takeBytes', () => {
   // Guards against: entry hosts joining at once after a power loss serve nobody while their configuration trickles in.
--- a/src/coordination/__tests__/utils/ConsensusCluster.ts
+++ b/src/coordination/__tests__/utils/ConsensusCluster.ts
@@ -151,7 +151,8 @@
       this.now += 10;
       this.ids.forEach((id) => this.input(id, { type: 'tick' }));
       const packets = this.packets.filter(
-        ({ from, to }) => this.#states.has(to) && !this.#isolated.has(from) && !this.#isolated.has(to),
+        ({ from, to }) =>
+          this.#states.has(to) && !this.#isolated.has(from) && !this.#isolated.has(to),
       );
       this.packets = [];
       packets.forEach(({ from, to, message }) =>
--- a/src/coordination/__tests__/utils/LimitsModel.ts
+++ b/src/coordination/__tests__/utils/LimitsModel.ts
@@ -109,7 +109,9 @@
     const { joinsAt, partition, hosts } = this.#shape;
     const early = this.#ids.slice(0, hosts - 1);
     this.#hosts.forEach((host) => host.setHosts(early, 0));
-    this.#schedule(joinsAt, () => this.#hosts.forEach((host) => host.setHosts(this.#ids, this.#now)));
+    this.#schedule(joinsAt, () =>
+      this.#hosts.forEach((host) => host.setHosts(this.#ids, this.#now)),
+    );
     this.#schedule(joinsAt, () => this.#exchange());
     this.#schedule(partition[1], () => this.#exchange());
     this.#arrive();
@@ -149,7 +151,10 @@
     this.#schedule(arrivesAt + this.#random() * MAX_ANSWER_MS, () => {
       host.notifiedAt = Math.min(host.notifiedAt, this.#now);
       const { perSecond } = this.#shape;
-      this.#applyStep(i, applyAdvertisedLimit(host.state, INCARNATION_KEY, mark, perSecond, this.#now));
+      this.#applyStep(
+        i,
+        applyAdvertisedLimit(host.state, INCARNATION_KEY, mark, perSecond, this.#now),
+      );
     });
   }
 
--- a/src/coordination/__tests__/utils/LimitsModelHost.ts
+++ b/src/coordination/__tests__/utils/LimitsModelHost.ts
@@ -58,7 +58,9 @@
   #adjust(now: number): void {
     const perSecond = this.#state.get(INCARNATION_KEY)?.perSecond ?? null;
     this.#sendRate =
-      perSecond === null ? undefined : updateInterval(this.#sendRate, this.#interval(perSecond), now);
+      perSecond === null
+        ? undefined
+        : updateInterval(this.#sendRate, this.#interval(perSecond), now);
   }
 
   #interval(perSecond: number): number {
--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -71,7 +71,12 @@
   type IncarnationKey,
   type LostRequest,
 } from './EndpointCrashes.js';
-export { engineAnswered, engineCrashed, FIRST_INCARNATION, type EngineIncarnation } from './EngineIncarnations.js';
+export {
+  engineAnswered,
+  engineCrashed,
+  FIRST_INCARNATION,
+  type EngineIncarnation,
+} from './EngineIncarnations.js';
 export {
   initGate,
   CLOSED_ATTEMPT_TTL_MS,
@@ -201,7 +206,12 @@
   type EndpointRefusal,
   type EndpointRefusals,
 } from './EndpointRefusals.js';
-export { dropExpiredBackoffs, recordBackoff, type EndpointBackoff, type EndpointBackoffs } from './EndpointBackoffs.js';
+export {
+  dropExpiredBackoffs,
+  recordBackoff,
+  type EndpointBackoff,
+  type EndpointBackoffs,
+} from './EndpointBackoffs.js';
 export {
   updateInterval,
   sendIntervalOf,
@@ -248,7 +258,12 @@
   type ExpertCounts,
   type PackedDemand,
 } from './DemandEstimate.js';
-export { requiredGain, isPlanDue, type PlanConditions, type PlanHistory } from './MapPlanTrigger.js';
+export {
+  requiredGain,
+  isPlanDue,
+  type PlanConditions,
+  type PlanHistory,
+} from './MapPlanTrigger.js';
 export { slowRanks } from './RankSlowdown.js';
 export { planMap, type PlannedMap, type MapPolicy, type MapShape } from './MapPlan.js';
 export { initMapSwitch, PREPARE_TIMEOUT_MS, stepMapSwitch } from './MapSwitch.js';
@@ -307,4 +322,10 @@
 export { awaitsReport } from './MapSwitchOrders.js';
 export { hasHolderTerminated, holderName, type LeaseHolder } from './LeaseHolder.js';
 export { STARTUP_WINDOW_MS, startupWaitMs } from './StartupWait.js';
-export { finishUpdate, isUpdateDue, requestUpdate, IDLE_THROTTLE, type UpdateThrottle } from './UpdateThrottle.js';
+export {
+  finishUpdate,
+  isUpdateDue,
+  requestUpdate,
+  IDLE_THROTTLE,
+  type UpdateThrottle,
+} from './UpdateThrottle.js';
--- a/src/daemon/DaemonConsensus.ts
+++ b/src/daemon/DaemonConsensus.ts
@@ -208,7 +208,10 @@
     return { now: this.#options.now(), rng: this.#options.rng };
   }
 
-  async #request<T>(pending: PendingRequests<T>, makeInput: (id: string) => ConsensusInput): Promise<T> {
+  async #request<T>(
+    pending: PendingRequests<T>,
+    makeInput: (id: string) => ConsensusInput,
+  ): Promise<T> {
     this.#counter += 1;
     const id = `${this.#counter}`;
     return new Promise((resolve) => {
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -97,12 +97,15 @@
 /** The leader's word on the newest index; waits a moment where there is no leader yet. */
 async function readIndexAtLeader(cradle: Cradle, until: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
-  const hasLeader = (): boolean => consensus.state.role === 'leader' || consensus.state.leader !== null;
+  const hasLeader = (): boolean =>
+    consensus.state.role === 'leader' || consensus.state.leader !== null;
   while (!hasLeader() && runtime.now() < until) {
     // eslint-disable-next-line no-await-in-loop
     await delay(CATCH_UP_POLL_MS);
   }
-  return callLeader<number | null>(cradle, 'leader.readIndex', {}, async () => consensus.readIndex());
+  return callLeader<number | null>(cradle, 'leader.readIndex', {}, async () =>
+    consensus.readIndex(),
+  );
 }
 
 /** Index of the newest configuration, once this replica holds all that was accepted before. */
@@ -191,7 +194,9 @@
           recordOf: (id) => hub.membership.directory.get(id),
         }),
     ).singleton(),
-    newest: asFunction(() => new CoalescedRead(async () => newestIndex(container.cradle))).singleton(),
+    newest: asFunction(
+      () => new CoalescedRead(async () => newestIndex(container.cradle)),
+    ).singleton(),
   });
   return container.cradle;
 }
@@ -222,9 +227,9 @@
   return {
     'lease.ask': async (params): Promise<LeaseReply> => {
       const leaseRequest = params as LeaseRequest;
-      return callLeader(cradle, 'leader.lease', leaseRequest, async () => service.requestLease(leaseRequest)).catch(
-        (): LeaseReply => ({ result: 'failed' }),
-      );
+      return callLeader(cradle, 'leader.lease', leaseRequest, async () =>
+        service.requestLease(leaseRequest),
+      ).catch((): LeaseReply => ({ result: 'failed' }));
     },
     'config.newest': async () => cradle.newest.read(),
     'control.join': async (params) => {
@@ -299,7 +304,9 @@
 function replaceViaLeader(cradle: Cradle): ControlCore['replace'] {
   return async (replacement) => {
     try {
-      return await callLeader(cradle, 'leader.replace', replacement, async () => cradle.service.replace(replacement));
+      return await callLeader(cradle, 'leader.replace', replacement, async () =>
+        cradle.service.replace(replacement),
+      );
     } catch (err) {
       return { result: 'unavailable', reason: (err as Error).message };
     }
--- a/src/daemon/DaemonControlPeers.ts
+++ b/src/daemon/DaemonControlPeers.ts
@@ -95,7 +95,8 @@
         }
       },
       'control.identity': () => this.identity,
-      'control.found': async (params) => this.#foundCluster(params as { voters: readonly string[] }),
+      'control.found': async (params) =>
+        this.#foundCluster(params as { voters: readonly string[] }),
       'control.load': (params) => hub().onGroupLoad(params as GroupLoad),
       'control.quarantine': (params) => this.#onUpdate('quarantine', params),
       'control.limits': (params) => this.#onUpdate('limits', params),
@@ -146,7 +147,9 @@
 
   #onUpdate(topic: SharedTopic, params: unknown): void {
     const { from, ...update } = params as SharedUpdate & { from: string };
-    this.#options.hub().onSharedUpdate(topic, update, from, (reply) => this.#sendUpdate(from, topic, reply));
+    this.#options
+      .hub()
+      .onSharedUpdate(topic, update, from, (reply) => this.#sendUpdate(from, topic, reply));
   }
 
   /** Calls a method at a control process by name. */
@@ -269,7 +272,9 @@
         // A new link may have missed news: the peer gets the whole list of those attached here.
         const { attached } = hub();
         link.notify('control.directory', this.#directoryDelta(true, attached));
-        hub().sendSharedSets((topic, update) => link.notify(`control.${topic}`, { from: self, ...update }));
+        hub().sendSharedSets((topic, update) =>
+          link.notify(`control.${topic}`, { from: self, ...update }),
+        );
       },
     });
     this.#stopControllers.set(name, stop);
@@ -285,7 +290,10 @@
     return true;
   }
 
-  #directoryDelta(full: boolean, records: readonly MemberRecord[]): DirectoryDelta & { from: string } {
+  #directoryDelta(
+    full: boolean,
+    records: readonly MemberRecord[],
+  ): DirectoryDelta & { from: string } {
     return { full, records, from: this.#options.self };
   }
 }
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -153,7 +153,14 @@
         ? result
         : { result: 'unavailable', reason: 'not decided in time; submit again' };
     this.#log.info(
-      { event: 'replace', fleet, version, held, result: reply.result, ...this.#commitQuorum(reply) },
+      {
+        event: 'replace',
+        fleet,
+        version,
+        held,
+        result: reply.result,
+        ...this.#commitQuorum(reply),
+      },
       'document',
     );
     return reply;
--- a/src/daemon/DaemonEntryCall.ts
+++ b/src/daemon/DaemonEntryCall.ts
@@ -279,7 +279,12 @@
 
   #onEngineCrash(endpoint: MemberRecord, engineOrdinal: number | null): void {
     if (engineOrdinal !== null) {
-      this.#options.state.screening.onEngineCrash(endpoint, engineOrdinal, this.#identity, this.#request);
+      this.#options.state.screening.onEngineCrash(
+        endpoint,
+        engineOrdinal,
+        this.#identity,
+        this.#request,
+      );
     }
   }
 
--- a/src/daemon/DaemonEntryState.ts
+++ b/src/daemon/DaemonEntryState.ts
@@ -61,13 +61,22 @@
   readonly screening: DaemonScreening;
 
   /** `sendNews` sends news of suspected requests to the control process. */
-  constructor(id: string, zone: string, runtime: Runtime, sendQuarantineUpdate: SendQuarantineUpdate) {
+  constructor(
+    id: string,
+    zone: string,
+    runtime: Runtime,
+    sendQuarantineUpdate: SendQuarantineUpdate,
+  ) {
     this.#id = id;
     this.#zone = zone;
     this.#runtime = runtime;
     this.#routing = initRouting(zone);
     this.#metrics = new EntryMetrics(runtime.registry, () => this.#inProgress.size);
-    this.screening = new DaemonScreening({ runtime, metrics: this.#metrics, send: sendQuarantineUpdate });
+    this.screening = new DaemonScreening({
+      runtime,
+      metrics: this.#metrics,
+      send: sendQuarantineUpdate,
+    });
   }
 
   get config(): ConfigView {
@@ -93,7 +102,8 @@
 
   /** Whether a request must be sent to no endpoint like this one. */
   isQuarantined(identity: RequestIdentity, { offer }: MemberRecord): boolean {
-    const quarantineCrashes = offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
+    const quarantineCrashes =
+      offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
     return this.screening.isQuarantined(identity, quarantineCrashes);
   }
 
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -219,7 +219,11 @@
     if ((await this.#options.probe().result) !== 'refused') {
       return null;
     }
-    this.#engineIncarnation = engineCrashed(this.#engineIncarnation, startedAt, this.#options.runtime.now());
+    this.#engineIncarnation = engineCrashed(
+      this.#engineIncarnation,
+      startedAt,
+      this.#options.runtime.now(),
+    );
     return this.#engineIncarnation.ordinal;
   }
 }
--- a/src/daemon/DaemonGateRelay.ts
+++ b/src/daemon/DaemonGateRelay.ts
@@ -32,7 +32,8 @@
   let done = false;
   // eslint-disable-next-line no-restricted-syntax -- a stream has no other way to be read in step
   for await (const chunk of body) {
-    const data = remainder.length === 0 ? (chunk as Buffer) : Buffer.concat([remainder, chunk as Buffer]);
+    const data =
+      remainder.length === 0 ? (chunk as Buffer) : Buffer.concat([remainder, chunk as Buffer]);
     const { end, events } = findEvents(data);
     if (events > 0) {
       done = data.subarray(0, end).subarray(-DONE_EVENT.length).equals(Buffer.from(DONE_EVENT));
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -155,7 +155,8 @@
         this.onGroupLoad(params as GroupLoad);
         this.#options.publishLoad(params as GroupLoad);
       },
-      quarantine: (params, link) => this.#onAttachedUpdate('quarantine', params as SharedUpdate, link),
+      quarantine: (params, link) =>
+        this.#onAttachedUpdate('quarantine', params as SharedUpdate, link),
       limits: (params, link) => this.#onAttachedUpdate('limits', params as SharedUpdate, link),
       'config.applied': (params, link) => {
         this.#appliedIndexes.set(link.peer, (params as { index: number }).index);
@@ -253,7 +254,10 @@
     const isSame = record?.incarnation === known.incarnation && !this.#processes.has(id);
     if (record !== undefined && isSame && found === 'refused') {
       this.#options.log.info({ event: 'ended', member: id }, 'a process has ended');
-      this.#stepMembership({ type: 'announce', record: { ...record, status: 'gone', ended: true } });
+      this.#stepMembership({
+        type: 'announce',
+        record: { ...record, status: 'gone', ended: true },
+      });
     }
   }
 
@@ -353,7 +357,10 @@
    * An entry process is told of its own region: work never spills out of it. An endpoint process is
    * told of its group's other processes.
    */
-  #relevantRecords(record: MemberRecord, records: readonly MemberRecord[]): readonly MemberRecord[] {
+  #relevantRecords(
+    record: MemberRecord,
+    records: readonly MemberRecord[],
+  ): readonly MemberRecord[] {
     if (record.role !== 'entry') {
       const group = record.offer?.group;
       return records.filter(({ offer }) => group !== undefined && offer?.group === group);
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -88,7 +88,9 @@
   }
 
   recordSuspects(incarnationKey: IncarnationKey, lost: readonly LostRequest[]): void {
-    this.#set.apply(recordSuspects(this.#set.state, incarnationKey, lost, this.#options.runtime.now()));
+    this.#set.apply(
+      recordSuspects(this.#set.state, incarnationKey, lost, this.#options.runtime.now()),
+    );
   }
 
   /** Releases a request; true if anything was held against it. */
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -60,7 +60,8 @@
       runtime,
       probe: probeAddress,
       crashes: metrics.endpointCrashes,
-      onSuspects: (incarnationKey, suspects) => this.#quarantine.recordSuspects(incarnationKey, suspects),
+      onSuspects: (incarnationKey, suspects) =>
+        this.#quarantine.recordSuspects(incarnationKey, suspects),
     });
   }
 
@@ -88,7 +89,11 @@
   }
 
   /** Calls once a request in progress is held; the result ends that. */
-  registerQuarantineListener(identity: RequestIdentity, quarantineCrashes: number, onQuarantined: () => void): () => void {
+  registerQuarantineListener(
+    identity: RequestIdentity,
+    quarantineCrashes: number,
+    onQuarantined: () => void,
+  ): () => void {
     return this.#quarantine.registerListener(() => {
       if (this.isQuarantined(identity, quarantineCrashes)) {
         onQuarantined();
@@ -101,22 +106,38 @@
    * the endpoint has. What endpoints have answered whole a short while ago isn't suspected: a call that comes all the
    * time is in progress wherever an endpoint ends.
    */
-  async onConnectionLost(endpoint: MemberRecord, identity: RequestIdentity, request: string): Promise<void> {
+  async onConnectionLost(
+    endpoint: MemberRecord,
+    identity: RequestIdentity,
+    request: string,
+  ): Promise<void> {
     if (!wasRecentlyAnswered(this.#recentAnswers, identity, this.#options.runtime.now())) {
       await this.#crashes.onConnectionLost(endpoint, this.#toLostRequest(identity, request));
     }
   }
 
   /** A gate has seen its engine end under a request; it counts the engine's lives. */
-  onEngineCrash(endpoint: MemberRecord, engineOrdinal: number, identity: RequestIdentity, request: string): void {
+  onEngineCrash(
+    endpoint: MemberRecord,
+    engineOrdinal: number,
+    identity: RequestIdentity,
+    request: string,
+  ): void {
     if (!wasRecentlyAnswered(this.#recentAnswers, identity, this.#options.runtime.now())) {
-      this.#crashes.onCrashed(`${incarnationKeyOf(endpoint)}#${engineOrdinal}`, this.#toLostRequest(identity, request));
+      this.#crashes.onCrashed(
+        `${incarnationKeyOf(endpoint)}#${engineOrdinal}`,
+        this.#toLostRequest(identity, request),
+      );
     }
   }
 
   /** A request was answered whole: nothing is held against it any longer. */
   onAnswered(identity: RequestIdentity): void {
-    this.#recentAnswers = rememberAnswer(this.#recentAnswers, identity, this.#options.runtime.now());
+    this.#recentAnswers = rememberAnswer(
+      this.#recentAnswers,
+      identity,
+      this.#options.runtime.now(),
+    );
     if (this.#quarantine.hasSuspects(identity.customer)) {
       this.#quarantine.clear(this.#digest(identity));
     }
--- a/src/daemon/__tests__/unit/DaemonAnswers.test.ts
+++ b/src/daemon/__tests__/unit/DaemonAnswers.test.ts
@@ -138,7 +138,11 @@
       isReady: true,
       customer: () => ({ name: 'kano' }),
       config: { byModel: new Map(), byPath: [['/', SERVICE]] },
-      screening: { onAnswered: ignore, onConnectionLost: async () => Promise.resolve(), onEngineCrash: ignore },
+      screening: {
+        onAnswered: ignore,
+        onConnectionLost: async () => Promise.resolve(),
+        onEngineCrash: ignore,
+      },
       admit: ignore,
       begin: ignore,
       end: ignore,
--- a/src/daemon/__tests__/unit/DaemonConsensus.test.ts
+++ b/src/daemon/__tests__/unit/DaemonConsensus.test.ts
@@ -47,7 +47,9 @@
 
   async foundCluster(): Promise<void> {
     await Promise.all(
-      [...this.#tasks.values()].map(async (task) => task.foundCluster({ voters: VOTERS, learners: [] })),
+      [...this.#tasks.values()].map(async (task) =>
+        task.foundCluster({ voters: VOTERS, learners: [] }),
+      ),
     );
   }
 
--- a/src/daemon/__tests__/unit/DaemonControlService.test.ts
+++ b/src/daemon/__tests__/unit/DaemonControlService.test.ts
@@ -36,7 +36,10 @@
   });
 }
 
-async function requestAsRival(record: MemberRecord, observe: boolean): Promise<LeaseReply['result']> {
+async function requestAsRival(
+  record: MemberRecord,
+  observe: boolean,
+): Promise<LeaseReply['result']> {
   const request: LeaseRequest = {
     group: 'g',
     holder: 'rank-2@30',
--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -211,7 +211,9 @@
     };
     return new Promise((resolve) => {
       this.#waiters.set(waiting.id, { waiting, resolve });
-      signal.addEventListener('abort', () => this.#removeWaiter(req.service, waiting.id), { once: true });
+      signal.addEventListener('abort', () => this.#removeWaiter(req.service, waiting.id), {
+        once: true,
+      });
       const { now, random } = this.#runtime;
       const step = enqueue(state.queue, waiting, forecast, now(), random());
       this.#log.debug({ event: 'place', request: req.request, free: forecast.free }, 'asked');
@@ -275,7 +277,8 @@
   /** A request is over that had no event; `givenUp` where nothing at all came from the endpoint. */
   onUnanswered(service: string, endpoint: string, wasCancelled: boolean): void {
     const groups = [...(this.#services.get(service)?.groups.values() ?? [])];
-    const avoid = wasCancelled && groups.some((group) => this.#unresponsiveIn(group).includes(endpoint));
+    const avoid =
+      wasCancelled && groups.some((group) => this.#unresponsiveIn(group).includes(endpoint));
     this.#streams.onUnanswered(endpoint, avoid, this.#runtime.now());
   }
 
@@ -291,7 +294,9 @@
     const choose = (excluded: readonly string[]): string | null =>
       chooseRank(all, this.#own, this.#zone, excluded, random);
     // One that is silent is better than none: its group may have stood still, and go on.
-    return choose([...exclude, ...unresponsive]) ?? (unresponsive.length > 0 ? choose(exclude) : null);
+    return (
+      choose([...exclude, ...unresponsive]) ?? (unresponsive.length > 0 ? choose(exclude) : null)
+    );
   }
 
   #unresponsiveIn({ ranks }: GroupSlots): readonly string[] {
@@ -420,7 +425,8 @@
     const groups = [...state.groups.values()];
     const openGroups = groups.filter(isOpenGroup);
     const granted = this.#granted.get(service) ?? 0;
-    const free = openGroups.reduce((sum, group) => sum + freeSlotsAt(group, this.#own), 0) - granted;
+    const free =
+      openGroups.reduce((sum, group) => sum + freeSlotsAt(group, this.#own), 0) - granted;
     const slots = groups.reduce(
       (total, group) => total + Math.max(group.allowance, ownRequestsAt(group, this.#own)),
       0,
@@ -433,14 +439,18 @@
       isRecovering: this.#isRecovering(service),
       isLongDown: this.#isLongDown(service),
       ratePerMs: openGroups.length > 0 ? slots / Math.max(1, writeMs(costs.usualAnswer)) : 0,
-      firstMs: FIRST_EVENT_PASSES * passMs + costs.usualPrompt / costs.readTokensPerMs + FIRST_EVENT_OVERHEAD_MS,
+      firstMs:
+        FIRST_EVENT_PASSES * passMs +
+        costs.usualPrompt / costs.readTokensPerMs +
+        FIRST_EVENT_OVERHEAD_MS,
       writeMs,
     };
   }
 
   #admitWaiting(service: string): void {
     const state = this.#services.get(service);
-    const outlook = state === undefined || state.queue.length === 0 ? null : this.#forecast(service);
+    const outlook =
+      state === undefined || state.queue.length === 0 ? null : this.#forecast(service);
     if (state !== undefined && outlook !== null) {
       const { now, random } = this.#runtime;
       this.#applyStep(service, admitWaiting(state.queue, outlook, now(), random()));
--- a/src/daemon/direct/DirectBackoffs.ts
+++ b/src/daemon/direct/DirectBackoffs.ts
@@ -1,6 +1,11 @@
 /** Rest that endpoints have asked this entry process for. */
 import { Gauge } from 'prom-client';
-import { dropExpiredBackoffs, incarnationKeyOf, recordBackoff, type EndpointBackoff } from '../../coordination/index.js';
+import {
+  dropExpiredBackoffs,
+  incarnationKeyOf,
+  recordBackoff,
+  type EndpointBackoff,
+} from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import { DirectSendRates } from './DirectSendRates.js';
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -74,7 +74,9 @@
     });
     const leftMs = Math.max(1, deadline - this.#state.now());
     this.#timer = setTimeout(() => this.#guard(() => this.#onDeadline()), leftMs);
-    const unregisterClose = reply.registerClose(() => this.#guard(() => this.#onCallerDisconnected()));
+    const unregisterClose = reply.registerClose(() =>
+      this.#guard(() => this.#onCallerDisconnected()),
+    );
     const unregisterQuarantineListener = this.#state.registerQuarantineListener(this.#request, () =>
       this.#guard(() => this.#onQuarantined()),
     );
@@ -185,7 +187,8 @@
       this.#refuseQuarantined();
       return;
     }
-    const endpoint = reservedEndpoint ?? this.#state.route(service, head.id, this.#tried, this.attempts + 1);
+    const endpoint =
+      reservedEndpoint ?? this.#state.route(service, head.id, this.#tried, this.attempts + 1);
     if (endpoint === null) {
       this.#state.admission.onUnused(service);
       this.#awaitSendSlot();
@@ -226,7 +229,8 @@
           }
           return mayStart;
         },
-        onHead: (answer) => this.#guard(() => sendSlots.onAnswer(endpoint, answer, head.id, limitTimestamp)),
+        onHead: (answer) =>
+          this.#guard(() => sendSlots.onAnswer(endpoint, answer, head.id, limitTimestamp)),
         onEvents: (bytes, answer) => this.#guard(() => this.#onEvents(bytes, answer)),
         onStreamEnd: (answer) => this.#guard(() => this.#onStreamEnd(answer)),
         onWhole: (answer) => this.#guard(() => this.#onAnswer(answer)),
@@ -258,7 +262,9 @@
     }
     delay(sendSlot.waitMs, undefined, { signal: this.#waitAbort.signal })
       .then(() =>
-        this.#guard(() => this.#send(this.#state.sendSlots.isServing(sendSlot) ? sendSlot.endpoint : null)),
+        this.#guard(() =>
+          this.#send(this.#state.sendSlots.isServing(sendSlot) ? sendSlot.endpoint : null),
+        ),
       )
       // The request is over, and its turn is lost.
       .catch(() => undefined);
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -330,7 +330,10 @@
     const { group, publish } = this.#options;
     const active = this.#valuePerRank(({ active: activeStreams }) => activeStreams);
     const queued = this.#valuePerRank(({ queued: queuedRequests }) => queuedRequests);
-    if (this.#newestReport === null || this.#options.runtime.now() - this.#newestReportAt > REPORT_MAX_AGE_MS) {
+    if (
+      this.#newestReport === null ||
+      this.#options.runtime.now() - this.#newestReportAt > REPORT_MAX_AGE_MS
+    ) {
       return;
     }
     this.#publishedOpen = this.#isOpen;
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -306,7 +306,11 @@
     screening.logQuarantined(request.identity, request.head.id);
     const quarantinedForMs = screening.quarantinedForMs(request.identity);
     request.reply.refuse(quarantineError(), quarantinedForMs, this.#state.isLeaving);
-    this.#state.requests.end(request, request.reply.isClosed ? 'callerGone' : 'quarantined', UNSENT_STATS);
+    this.#state.requests.end(
+      request,
+      request.reply.isClosed ? 'callerGone' : 'quarantined',
+      UNSENT_STATS,
+    );
   }
 
   #refuseOverloaded(request: DirectRequest, retryAfterMs: number): void {
@@ -343,7 +347,12 @@
     }
     const disconnected = new AbortController();
     const unregister = reply.registerClose(() => disconnected.abort());
-    await this.#state.startup.waitUntil(isMet, startedAt, timeoutMs ?? Infinity, disconnected.signal);
+    await this.#state.startup.waitUntil(
+      isMet,
+      startedAt,
+      timeoutMs ?? Infinity,
+      disconnected.signal,
+    );
     unregister();
   }
 
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -236,7 +236,9 @@
       this.#setView(view);
     }
     const old = this.now() - REPLACED_RETENTION_MS;
-    [...this.#replaced].filter(([, at]) => at < old).forEach(([incarnationKey]) => this.#replaced.delete(incarnationKey));
+    [...this.#replaced]
+      .filter(([, at]) => at < old)
+      .forEach(([incarnationKey]) => this.#replaced.delete(incarnationKey));
   }
 
   /** Chooses an endpoint, and writes down why. */
@@ -262,9 +264,7 @@
   #chooseRank(service: string, without: readonly string[]): string | null | undefined {
     const { avoided } = this.sendSlots.refusals;
     const chosen = this.admission.choose(service, [...without, ...avoided]);
-    return chosen === null && avoided.length > 0
-      ? this.admission.choose(service, without)
-      : chosen;
+    return chosen === null && avoided.length > 0 ? this.admission.choose(service, without) : chosen;
   }
 
   #chooseByWork(service: string, without: readonly string[]): RoutingDecision {
@@ -300,8 +300,15 @@
   }
 
   /** Calls once a request in progress is held; the result ends that. */
-  registerQuarantineListener({ identity, service }: DirectRequest, onQuarantined: () => void): () => void {
-    return this.screening.registerQuarantineListener(identity, this.#quarantineCrashes(service), onQuarantined);
+  registerQuarantineListener(
+    { identity, service }: DirectRequest,
+    onQuarantined: () => void,
+  ): () => void {
+    return this.screening.registerQuarantineListener(
+      identity,
+      this.#quarantineCrashes(service),
+      onQuarantined,
+    );
   }
 
   /** Whether an endpoint is left for another attempt. */
@@ -313,7 +320,9 @@
 
   /** Takes the next turn at an endpoint of the service that takes nothing now; null where none comes in time. */
   reserveSendSlot(service: string, exclude: readonly string[], withinMs: number): SendSlot | null {
-    return this.admission.isClosed(service) ? null : this.sendSlots.reserveNext(service, exclude, withinMs);
+    return this.admission.isClosed(service)
+      ? null
+      : this.sendSlots.reserveNext(service, exclude, withinMs);
   }
 
   /** Time until an endpoint of the service that takes nothing now takes a request, ms; null where none will. */
@@ -404,7 +413,11 @@
 
   pool(endpoint: MemberRecord): EndpointPool {
     const serviceSpec = this.#routes?.services.get(endpoint.offer?.service ?? '');
-    return this.#pools.to(endpoint, serviceSpec?.maxConnections ?? DEFAULT_CONNECTIONS, this.#entryHosts);
+    return this.#pools.to(
+      endpoint,
+      serviceSpec?.maxConnections ?? DEFAULT_CONNECTIONS,
+      this.#entryHosts,
+    );
   }
 
   #setFreshness(freshness: FreshnessState): void {
@@ -412,7 +425,10 @@
     this.#freshness = freshness;
     if (!wasProven && this.isProven) {
       const { log } = this.#options.runtime;
-      log.info({ event: 'proven', index: freshness.heldConfigIndex }, 'configuration proven the newest');
+      log.info(
+        { event: 'proven', index: freshness.heldConfigIndex },
+        'configuration proven the newest',
+      );
       this.startup.recheck();
     }
   }
@@ -420,15 +436,22 @@
   #setView(view: MembershipView): void {
     this.#view = view;
     this.#throttle = finishUpdate(this.now());
-    const serving = servingMembers(view).filter((record) => !this.#replaced.has(incarnationKeyOf(record)));
+    const serving = servingMembers(view).filter(
+      (record) => !this.#replaced.has(incarnationKeyOf(record)),
+    );
     const entries = serving.filter(({ role }) => role === 'entry').map(({ id }) => id);
     this.#entryHosts = entries.length;
     this.sendSlots.limits.setHosts(entries);
     this.admission.setMembers(serving, this.#entryHosts);
     this.#routing = updateRouting(this.#routing, { type: 'members', records: serving }, this.now());
-    const incarnationKeys = new Set([...view.values()].map(({ record }) => incarnationKeyOf(record)));
+    const incarnationKeys = new Set(
+      [...view.values()].map(({ record }) => incarnationKeyOf(record)),
+    );
     this.sendSlots.keep((incarnationKey) => incarnationKeys.has(incarnationKey));
-    this.#pools.keep((incarnationKey) => incarnationKeys.has(incarnationKey) && !this.#replaced.has(incarnationKey));
+    this.#pools.keep(
+      (incarnationKey) =>
+        incarnationKeys.has(incarnationKey) && !this.#replaced.has(incarnationKey),
+    );
     this.startup.recheck();
   }
 
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -89,7 +89,10 @@
     const step = applyAdvertisedLimit(this.#limits.state, incarnationKey, sent, limit, now());
     this.#limits.apply(step);
     if (step.changed.length > 0 || limit === 'unreadable') {
-      log.info({ event: 'limit_named', endpoint: incarnationKey, limit, request }, 'an answer names a limit');
+      log.info(
+        { event: 'limit_named', endpoint: incarnationKey, limit, request },
+        'an answer names a limit',
+      );
     }
   }
 
--- a/src/daemon/direct/DirectRankPeers.ts
+++ b/src/daemon/direct/DirectRankPeers.ts
@@ -125,7 +125,11 @@
    * more than its copies. Enough: a change moves about a hundred experts, 0.8 kB; a process that has begun
    * anew refuses it, and is sent the whole.
    */
-  async #sendMap(rank: number, request: RankOrderRequest, order: PrepareOrder): Promise<RankOrderReply> {
+  async #sendMap(
+    rank: number,
+    request: RankOrderRequest,
+    order: PrepareOrder,
+  ): Promise<RankOrderReply> {
     const known = this.#maps.get(rank);
     this.#maps.delete(rank);
     const params: RankOrderRequest =
@@ -136,7 +140,12 @@
             order: { ...order, map: [] },
             diff: { from: known.version, rows: diffMap(known.map, order.map) },
           };
-    const reply = (await this.#request(rank, 'rank.order', params, MAP_TIMEOUT_MS)) as RankOrderReply;
+    const reply = (await this.#request(
+      rank,
+      'rank.order',
+      params,
+      MAP_TIMEOUT_MS,
+    )) as RankOrderReply;
     this.#maps.set(rank, { version: order.version, map: order.map });
     return reply;
   }
--- a/src/daemon/direct/DirectSendSlots.ts
+++ b/src/daemon/direct/DirectSendSlots.ts
@@ -2,7 +2,12 @@
  * When endpoints that have asked for relief take a request from this entry process: asked before an endpoint is chosen,
  * and right before each send.
  */
-import { endpointIdOf, incarnationKeyOf, type IncarnationKey, type LimitTimestamp } from '../../coordination/index.js';
+import {
+  endpointIdOf,
+  incarnationKeyOf,
+  type IncarnationKey,
+  type LimitTimestamp,
+} from '../../coordination/index.js';
 import type { AnswerHead, MemberRecord } from '../../protocol/index.js';
 import { DirectLimits, type DirectLimitsOptions } from './DirectLimits.js';
 import { DirectRefusals } from './DirectRefusals.js';
@@ -79,7 +84,9 @@
   /** Ids of endpoints that must not be chosen: these, and those that take nothing now. */
   withBlocked(exclude: readonly string[]): readonly string[] {
     const blocked = this.#blocked();
-    return blocked.length === 0 ? exclude : [...exclude, ...blocked.map(({ endpoint }) => endpoint.id)];
+    return blocked.length === 0
+      ? exclude
+      : [...exclude, ...blocked.map(({ endpoint }) => endpoint.id)];
   }
 
   /** Takes the next turn at an endpoint of the service; null where none comes in time. */
@@ -118,7 +125,10 @@
     const { log, now } = this.#runtime;
     const incarnationKey = incarnationKeyOf(endpoint);
     if (!this.#leaving.has(incarnationKey)) {
-      log.info({ event: 'endpoint_leaves', endpoint: incarnationKey, request }, 'an endpoint leaves');
+      log.info(
+        { event: 'endpoint_leaves', endpoint: incarnationKey, request },
+        'an endpoint leaves',
+      );
     }
     this.#leaving.set(incarnationKey, now());
   }
@@ -137,7 +147,9 @@
 
   /** Endpoints that take nothing now. */
   #blocked(): readonly SendSlot[] {
-    const limited = [...this.limits.blocked, ...this.#backoffs.blocked].map(([incarnationKey]) => incarnationKey);
+    const limited = [...this.limits.blocked, ...this.#backoffs.blocked].map(
+      ([incarnationKey]) => incarnationKey,
+    );
     const incarnationKeys = new Set([...limited, ...this.#leaving.keys()]);
     return [...incarnationKeys].flatMap((incarnationKey) => {
       const endpoint = this.#serving(endpointIdOf(incarnationKey));
--- a/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
@@ -142,10 +142,14 @@
     const admission = openAdmission();
     admission.onLoad(load(COSTS.slots));
     const longRequest = { ...REQUEST, tokens: 1_000, likelyTokens: 1_000, deadline: 2_500 };
-    admission.acquire({ ...longRequest, isCallerRetry: true }, NEVER_ABORTED).catch(() => undefined);
+    admission
+      .acquire({ ...longRequest, isCallerRetry: true }, NEVER_ABORTED)
+      .catch(() => undefined);
     assert.equal(admission.waiting, 0);
     const eventsHad = 198;
-    admission.acquire({ ...longRequest, isCallerRetry: true, eventsReceived: eventsHad }, NEVER_ABORTED).catch(() => undefined);
+    admission
+      .acquire({ ...longRequest, isCallerRetry: true, eventsReceived: eventsHad }, NEVER_ABORTED)
+      .catch(() => undefined);
     assert.equal(admission.waiting, 1);
   });
 
@@ -197,7 +201,10 @@
     now = 700;
     admission.tick();
     assert.equal(admission.choose('s', []), null);
-    const waiting = admission.acquire({ ...REQUEST, startedAt: now, deadline: 8_700 }, NEVER_ABORTED);
+    const waiting = admission.acquire(
+      { ...REQUEST, startedAt: now, deadline: 8_700 },
+      NEVER_ABORTED,
+    );
     assert.equal(admission.waiting, 1);
     admission.onEvent('e1', false);
     admission.tick();
--- a/src/daemon/direct/__tests__/unit/DirectCall.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCall.test.ts
@@ -129,7 +129,10 @@
     const faults: unknown[] = [];
     let outcome = '';
     const entry = createServer((_req, res) => {
-      const call = new DirectCall(stateOf(endpoint, faults, replaced), directRequestOf(res, deadlineMs));
+      const call = new DirectCall(
+        stateOf(endpoint, faults, replaced),
+        directRequestOf(res, deadlineMs),
+      );
       call
         .run()
         .then((ended) => {
