--- a/src/coordination/DemandCounts.ts
+++ b/src/coordination/DemandCounts.ts
@@ -1,14 +1,14 @@
 /**
- * How often a rank's requests chose each expert, as it travels to the group's coordinator.
+ * Compact encoding of expert counts, which ranks send to their group's coordinator.
  *
- * Failure: a group of 72 ranks with 12 sets of 144 experts sends 1,700 running totals a rank, four times a
- * second: 1.5 MB/s to a host whose link takes 0.7. Symptom: the coordinator's renewals wait behind them, its
- * lease runs out before a change of map is through, and the group stays on its first map for good. Enough:
- * a byte an expert, what was chosen since the last reading, from as many ranks as a budget allows.
+ * A reading carries one byte per expert, the choices since the previous reading, and comes only from as many ranks
+ * as a byte budget allows. Full running totals of 72 ranks with 12 sets of 144 experts (1,700 totals a rank, four
+ * times a second) take 1.5 MB/s, while the coordinator's link carries 0.7 MB/s: its lease renewals queue behind
+ * them, the lease expires before a map change completes, and the group never leaves its initial map.
  */
 import type { ExpertCounts } from './DemandEstimate.js';
 
-/** Choices since the last reading: `unit` for each step of a byte, by set and expert. */
+/** Choices since the previous reading, by set and expert: each byte counts in steps of `unit`. */
 export interface PackedCounts {
   readonly unit: number;
   readonly sets: readonly Uint8Array[];
@@ -17,12 +17,15 @@
 const MAX_PACKED_COUNT = 255;
 
 /**
- * Bytes of counts that a coordinator takes in a round. Four rounds a second are 0.13 MB/s, a fifth of the
- * smallest link declared so far; with 1.7 kB a rank it hears 18 of 72 ranks, some 100 requests in progress.
+ * Bytes of counts that a coordinator reads per round. Four rounds a second take 0.13 MB/s, a fifth of the slowest
+ * link declared so far; at 1.7 kB a rank they cover 18 of 72 ranks, with some 100 requests in progress.
  */
 const MAX_ROUND_BYTES = 32_000;
 
-/** What was chosen between two readings; null where there is no earlier one, or the rank began anew. */
+/**
+ * Packs the choices between two readings; null without an earlier reading, or if a count decreased because the
+ * rank restarted.
+ */
 export function packIncrements(
   previous: ExpertCounts | null,
   current: ExpertCounts,
@@ -44,13 +47,13 @@
   };
 }
 
-/** Running totals with what was chosen since. */
+/** Adds packed increments to running totals; null stands for totals of 0. */
 export function addIncrements(
   totals: ExpertCounts | null,
   { unit, sets }: PackedCounts,
 ): ExpertCounts {
   return sets.map((set, s) => {
-    // Filled by index: taken one by one from an iterator, the counts of a round took twice as long as its sums.
+    // Added by index: reading the counts through an iterator takes twice as long as the additions.
     const sums = totals?.[s]?.slice() ?? new Array<number>(set.length).fill(0);
     set.forEach((packedCount, e) => {
       sums[e] = (sums[e] ?? 0) + packedCount * unit;
@@ -60,8 +63,9 @@
 }
 
 /**
- * Ranks whose counts are read, evenly spread: requests come to all ranks alike, so that a part of them
- * tells the demand. Always the same ranks, for counts of a round must be of the same time.
+ * Selects the ranks whose counts are read, evenly spaced. Requests are spread evenly over all ranks, so that a
+ * part of the ranks represents the demand. The selection is always the same, because the counts of a round must
+ * cover the same time.
  */
 export function sampledRanks(ranks: number, totalExperts: number): ReadonlySet<number> {
   const sampleSize = Math.max(
--- a/src/coordination/DemandEstimate.ts
+++ b/src/coordination/DemandEstimate.ts
@@ -1,54 +1,54 @@
 /**
- * Estimate of the load that each expert of a group will have, from how often the ranks' requests chose
- * it. Demand shifts at once and by much, so what came before a shift must not weigh on it.
+ * Estimates the load that each expert of a group will have, from how often the ranks' requests chose it. Demand
+ * shifts abruptly and by a large amount, so counts from before a shift must not affect the estimate.
  */
 
-/** Choices by set and expert. */
+/** Number of times that each expert was chosen, by set and expert. */
 export type ExpertCounts = readonly (readonly number[])[];
 
-/** Choices of one interval, all ranks together. */
+/** Choices in one interval, summed over all ranks. */
 interface Interval {
   readonly counts: ExpertCounts;
   readonly total: number;
 }
 
-/** What was seen lately. */
+/** Recent demand of a group. */
 export interface DemandState {
-  /** Newest last; all of them are from after the last shift. */
+  /** Newest last; all of them are from after the latest shift. */
   readonly intervals: readonly Interval[];
-  /** Cumulative counts last read, by rank; null where there is none to compare with. */
+  /** Latest cumulative counts, by rank; null before the first reading of a rank. */
   readonly lastTotals: readonly (ExpertCounts | null)[];
-  /** Shifts seen. */
+  /** Number of shifts detected. */
   readonly shifts: number;
-  /** Part of the choices that usually moves from one interval to the next; null where it isn't known. */
+  /** Moving average of the share of choices that changes from one interval to the next; null if unknown. */
   readonly averageDrift: number | null;
 }
 
-/** Intervals kept: with four a second these are about one and a half seconds of demand. */
+/** Intervals kept: with four a second, about one and a half seconds of demand. */
 const MAX_INTERVALS = 6;
 
 /** Weight of an interval relative to the next newer one. */
 const DECAY = 0.8;
 
 /**
- * Part of the choices that must have moved between two intervals to be taken for a shift, whatever is usual.
- * In a small group requests that come and go move 0.1 to 0.2 in a quarter of a second.
+ * Share of the choices whose change between two intervals always counts as a shift, whatever the average drift. In
+ * a small group, requests that start and finish change 0.1 to 0.2 in a quarter of a second.
  */
 const MAX_SHIFT_THRESHOLD = 0.28;
 
-/** No less than this is taken for a shift. */
+/** A smaller change never counts as a shift. */
 const MIN_SHIFT_THRESHOLD = 0.1;
 
-/** Times the usual move that a shift is. */
+/** A change counts as a shift above this multiple of the average drift. */
 const SHIFT_FACTOR = 2.5;
 
-/** Weight of the newest move in the usual one. */
+/** Weight of the newest drift in the moving average. */
 const DRIFT_WEIGHT = 0.2;
 
-/** An interval with fewer choices says nothing. */
+/** Intervals with fewer choices are ignored. */
 const MIN_TOTAL = 2_000;
 
-/** Nothing seen. */
+/** State before any reading. */
 export function initDemand(ranks: number): DemandState {
   return {
     intervals: [],
@@ -62,7 +62,10 @@
   return counts.reduce((sum, set) => sum + set.reduce((part, count) => part + count, 0), 0);
 }
 
-/** Half of the summed differences of shares, over all sets: 0 for equal, 1 for disjoint demand. */
+/**
+ * Total variation distance between the shares of two intervals, averaged over sets: 0 for equal, 1 for disjoint
+ * demand.
+ */
 function totalVariation(a: Interval, b: Interval): number {
   const perSet = a.counts.map((set, i) => {
     const other = b.counts[i] ?? [];
@@ -83,8 +86,9 @@
 }
 
 /**
- * What moved between two intervals, as if both were of as many ranks: the requests of a few spread wider. Up to half
- * of the choices may be lacking for other reasons, such as longer passes.
+ * Total variation distance, reduced if one interval has less than half of the other's choices: it is then from
+ * fewer ranks, and the requests of a few ranks vary more. Up to half of the choices may be missing for other
+ * reasons, such as longer passes.
  */
 function driftBetween(before: Interval, after: Interval): number {
   const larger = Math.max(before.total, after.total);
@@ -93,9 +97,10 @@
 }
 
 /**
- * Whether an interval's demand is another than before: what moved is far beyond the usual. In a large group a shift of
- * two thirds of the demand moves 0.2 of the choices at once, and requests that come and go much less. One amid an
- * interval shows by half in each of two, so that two intervals back counts too.
+ * Whether the demand of an interval has shifted: its change is far above the average drift. In a large group, a
+ * shift of two thirds of the demand changes 0.2 of the choices at once, and requests that start and finish change
+ * much less. A shift in the middle of an interval shows by half in each of two, so the interval before the
+ * previous one is compared too.
  */
 function isShift({ intervals, averageDrift }: DemandState, interval: Interval): boolean {
   const expectedDrift = averageDrift ?? MAX_SHIFT_THRESHOLD;
@@ -124,8 +129,8 @@
 }
 
 /**
- * Takes the cumulative counts of the ranks, null for one that didn't answer. Counts that went back
- * are those of a rank that has restarted, and only set a new start.
+ * Adds a reading of the ranks' cumulative counts, null for a rank that didn't answer. Counts that decreased are
+ * from a rank that has restarted, and only set its new baseline.
  */
 export function recordCounts(
   state: DemandState,
@@ -154,7 +159,7 @@
   return { ...addInterval(state, interval), lastTotals };
 }
 
-/** Expected share of each expert's load, by set; null before anything was seen. */
+/** Expected relative load of each expert, by set; null before the first interval. */
 export function expectedLoad(state: DemandState): readonly (readonly number[])[] | null {
   const [first] = state.intervals;
   if (first === undefined) {
@@ -173,13 +178,13 @@
   return sums;
 }
 
-/** Expected load as other processes of a group keep it: by set, a byte an expert. */
+/** Expected load as the other processes of a group store it: one byte per expert, by set. */
 export type PackedDemand = readonly Uint8Array[];
 
-/** Largest packed share; the hottest expert of a set has it. */
+/** Packed share of the hottest expert of a set. */
 const MAX_PACKED_SHARE = 255;
 
-/** Packs expected shares; one expert in 255 of the hottest is the finest difference kept. */
+/** Packs expected shares, with a resolution of 1/255 of the hottest expert's share. */
 export function packDemand(weights: readonly (readonly number[])[]): PackedDemand {
   return weights.map((set) => {
     const largest = Math.max(...set, Number.MIN_VALUE);
@@ -188,12 +193,12 @@
 }
 
 /**
- * Takes over what a predecessor expected, as one interval that weighs as little as any that counts.
+ * Adopts the demand that a predecessor expected, as one interval with the smallest total that isn't ignored.
  *
- * Failure: a coordinator is lost with its group, and its successor has seen no requests yet. Symptom: the
- * group opens with its first map, whose largest rank has 3.7 times the mean, and 1.2 s go until an even one is
- * in use. Enough: demand outlasts the group, so the successor plans from it at the opening; the first counts
- * of its own outweigh it, or show that it has shifted.
+ * If a coordinator is lost together with its group, its successor has no counts yet when the group opens. The
+ * group would start with its initial map, whose most loaded rank has 3.7 times the mean load, and use a balanced
+ * one only 1.2 s later. Demand outlasts the group, so the successor plans from the adopted demand at the opening;
+ * its own first counts outweigh it, or show that demand has shifted.
  */
 export function adoptDemand(state: DemandState, packed: PackedDemand): DemandState {
   const sums = packed.map((set) => set.reduce((sum, share) => sum + share, 0));
--- a/src/coordination/EngineModel.ts
+++ b/src/coordination/EngineModel.ts
@@ -1,32 +1,35 @@
 /**
- * How long the passes of a group take at a given load, by the costs that its engines declare, corrected
- * by what was observed. A pass gives each writer a few tokens, one event of its stream, so the pass is
- * the pause between two events; all ranks of a group move together.
+ * Model of the pass times of a group at a given load: the costs that its engines declare, corrected by observed
+ * times. A writer is a request that is generating tokens. A pass gives each writer a few tokens, sent as one event
+ * of its stream, so the pass time is the pause between two events. All ranks of a group run each pass together.
  */
 import type { EngineCosts } from '../protocol/index.js';
 
-/** Correction while nothing was observed: even maps and usual prompts make passes a third longer. */
+/**
+ * Correction without an observation: with balanced maps and typical prompts, passes take a third longer than
+ * declared.
+ */
 export const DEFAULT_PASS_CORRECTION = 1.3;
 
-/** Most that an observed pass may differ from the declared costs: beyond it the figure is a fault. */
+/** Maximum correction; an observed pass time further above the declared one is considered faulty. */
 const MAX_PASS_CORRECTION = 20;
 
-/** Tokens of context that a writer has, on average half through its answer. */
+/** Average context of a writer, in tokens: its prompt and half of its answer. */
 function averageContext(costs: EngineCosts): number {
   return costs.usualPrompt + costs.usualAnswer / 2;
 }
 
-/** ms that each writer adds to a token step at its rank. */
+/** Time that each writer adds to a token step of its rank, ms. */
 function writerStepMs(costs: EngineCosts): number {
   return costs.writerMs + (costs.contextMsPerK * averageContext(costs)) / 1_000;
 }
 
-/** Time of a pass with so many writers on each rank, by the declared costs, ms. */
+/** Declared time of a pass with this many writers on each rank, ms. */
 export function passTime(costs: EngineCosts, writers: number): number {
   return costs.stepsPerPass * (costs.stepMs + writerStepMs(costs) * writers);
 }
 
-/** Observed over declared time of a pass. */
+/** Ratio of the observed to the declared time of a pass, at least 1; a default without an observation. */
 export function passCorrection(
   costs: EngineCosts,
   writers: number,
@@ -39,8 +42,8 @@
 }
 
 /**
- * Expected over declared time of a pass when one rank has so many times the mean of the experts' work: all
- * ranks wait for it, set by set. Worked out for ranks full of writers, where it matters.
+ * Ratio of the expected to the declared time of a pass if the most loaded rank has `skew` times the mean load of
+ * experts: all ranks wait for it, set by set. Computed for ranks with all slots in use, where it matters.
  */
 export function skewCorrection(costs: EngineCosts, skew: number): number {
   const writersMs = writerStepMs(costs) * costs.slots;
@@ -48,12 +51,12 @@
   return 1 + skewMs / (costs.stepMs + writersMs);
 }
 
-/** Writers on each rank that keep a pass under a time; may be a fraction, and below 0. */
+/** Largest number of writers on each rank with which a pass takes at most `ms`; may be fractional or negative. */
 export function maxWritersFor(costs: EngineCosts, correction: number, ms: number): number {
   return (ms / (correction * costs.stepsPerPass) - costs.stepMs) / writerStepMs(costs);
 }
 
-/** Time that an answer of so many tokens takes to write, ms. */
+/** Time to generate an answer of this many tokens, ms. */
 export function generationTime(costs: EngineCosts, tokens: number, passMs: number): number {
   return Math.ceil(tokens / costs.stepsPerPass) * passMs;
 }
