--- a/src/coordination/MapCommit.ts
+++ b/src/coordination/MapCommit.ts
@@ -1,19 +1,19 @@
 /**
- * Change of a group's expert map: all ranks go over in the same step. Two phases over the ranks:
- * prepared and armed on all before the first hears `commit`; a rank that is armed runs no step from
- * the armed one on until it hears `commit` or `abort`.
+ * Two-phase commit of a group's expert map: all ranks switch before the same step. Every rank is prepared and
+ * armed before `commit` is sent to the first one; an armed rank runs no step from the armed one on until it
+ * receives `commit` or `abort`.
  */
 
-/** How long a rank may take to answer an order before it is sent again. In ms. */
+/** Time without an answer after which an order is sent again, ms. */
 export const ORDER_RETRY_MS = 500;
 
-/** A rank that hasn't prepared or armed after this long ends the change. In ms. */
+/** Time after which a change is aborted if not all ranks are prepared and armed, ms. */
 export const CHANGE_TIMEOUT_MS = 60_000;
 
-/** Steps between arming and use: enough for the orders to arrive without holding up the group. */
+/** Steps between arming and use of a map: enough for the orders to arrive without blocking the group. */
 export const ARM_AHEAD_STEPS = 32;
 
-/** What a rank tells with each answer. */
+/** Status that a rank reports with each answer. */
 export interface RankStatus {
   readonly version: number;
   readonly prepared: number | null;
@@ -23,42 +23,42 @@
   readonly step: number;
 }
 
-/** Kinds of orders to ranks. */
+/** Kinds of orders to a rank. */
 export type RankOrderKind = 'query' | 'prepare' | 'arm' | 'commit' | 'abort';
 
-/** An order to a rank; the map itself goes along with `prepare`. */
+/** An order to a rank; `prepare` is sent together with the map itself. */
 export interface RankOrder {
   readonly kind: RankOrderKind;
   readonly token: number;
   readonly version: number;
-  /** First step that may use the version; for `arm`. */
+  /** First step that may use the version; only meaningful for `arm`. */
   readonly step: number;
 }
 
-/** Where a change stands. */
+/** Phase of a change. */
 export type MapCommitPhase =
   'idle' | 'learning' | 'ready' | 'preparing' | 'arming' | 'committing' | 'aborting';
 
-/** What a coordinator knows. */
+/** State of a coordinator. */
 export interface MapCommitState {
   readonly ranks: number;
   readonly phase: MapCommitPhase;
   readonly token: number;
-  /** Version in use, or being taken into use. */
+  /** Version in use, or being introduced. */
   readonly version: number;
   /**
-   * Highest version ever proposed. A version is never used twice: a late answer to an aborted
-   * attempt would else count for the next, and `commit` be sent though a rank isn't armed.
+   * Highest version ever proposed. No version is used twice: otherwise a late answer to an aborted attempt would
+   * count for the next one, and `commit` be sent although a rank isn't armed.
    */
   readonly highestProposed: number;
   readonly step: number;
-  /** Last status of each rank in this phase; null for one that hasn't answered. */
+  /** Latest status of each rank in this phase; null for a rank that hasn't answered. */
   readonly answers: readonly (RankStatus | null)[];
   readonly startedAt: number;
   readonly sentAt: number;
 }
 
-/** What goes in. */
+/** Inputs of a coordinator. */
 export type MapCommitInput =
   | { readonly type: 'gained'; readonly token: number }
   | { readonly type: 'lost' }
@@ -73,20 +73,20 @@
     }
   | { readonly type: 'tick' };
 
-/** What comes out. */
+/** Outputs of a coordinator. */
 export type MapCommitOutput =
   | { readonly type: 'order'; readonly rank: number; readonly order: RankOrder }
   | { readonly type: 'ready'; readonly version: number }
   | { readonly type: 'changed'; readonly version: number }
   | { readonly type: 'aborted'; readonly version: number };
 
-/** New state and outputs of a step. */
+/** New state and outputs after an input. */
 export interface MapCommitStep {
   readonly state: MapCommitState;
   readonly outputs: readonly MapCommitOutput[];
 }
 
-/** A coordinator without a lease. */
+/** State of a coordinator without a lease. */
 export function initMapCommit(ranks: number): MapCommitState {
   return {
     ranks,
@@ -141,12 +141,12 @@
 }
 
 /**
- * Goes on from what the ranks say.
+ * Completes or aborts the unfinished change of a predecessor, from the status of all ranks.
  *
- * Failure: a coordinator dies between two messages, and its `commit` reached only some ranks.
- * Symptom: those use the new map, others would go back to the old one, and a step mixes both.
- * Enough: a new coordinator asks all ranks first, which also makes them refuse the old token; if any
- * has committed, all were armed, so all can be committed; if none has, nobody can any more.
+ * If a coordinator crashes and its `commit` reached only some ranks, those use the new map; if the others returned
+ * to the old one, a step would mix both. So a new coordinator first queries all ranks, which also makes them
+ * refuse the old token. If any rank has committed, all were armed, so all can be committed; if none has, none can
+ * any more.
  */
 function recoverChange(state: MapCommitState, now: number): MapCommitStep {
   const all = receivedStatuses(state);
@@ -179,7 +179,7 @@
 
 type PhaseCompletion = (state: MapCommitState, now: number) => MapCommitStep;
 
-/** What follows once all ranks have answered. */
+/** Completion of each phase, once all ranks have answered. */
 const COMPLETE_PHASE: Readonly<Partial<Record<MapCommitPhase, PhaseCompletion>>> = {
   learning: recoverChange,
   preparing: chooseArmStep,
@@ -204,7 +204,7 @@
   now: number,
 ): MapCommitStep {
   const { rank, token, kind, accepted, status } = input;
-  // Answers to orders of an earlier phase or an earlier coordinator say nothing about this one.
+  // Answers to orders of an earlier phase or an earlier coordinator are ignored.
   if (token !== state.token || kind !== ORDER_KIND_BY_PHASE[state.phase]) {
     return { state, outputs: [] };
   }
@@ -222,7 +222,10 @@
     : (COMPLETE_PHASE[state.phase]?.(next, now) ?? { state: next, outputs: [] });
 }
 
-/** A rank that dies before all are armed leaves the old map in force; after that, all must commit. */
+/**
+ * Sends unanswered orders again. If not all ranks are armed in time, the change is aborted and the old map stays
+ * in use; after that, all ranks must commit.
+ */
 function onTick(state: MapCommitState, now: number): MapCommitStep {
   const mayAbort = state.phase === 'preparing' || state.phase === 'arming';
   if (mayAbort && now - state.startedAt > CHANGE_TIMEOUT_MS) {
@@ -261,7 +264,7 @@
   tick: (state, _input, now) => onTick(state, now),
 };
 
-/** One step of a coordinator. */
+/** Applies an input to the state of a coordinator. */
 export function stepMapCommit(
   state: MapCommitState,
   input: MapCommitInput,
--- a/src/coordination/MapDiff.ts
+++ b/src/coordination/MapDiff.ts
@@ -1,14 +1,14 @@
-/** Difference of two expert maps: a change moves a few experts of a map that may have thousands. */
+/** Difference between two expert maps: a change moves a few experts of a map that may have thousands. */
 import type { GroupMap } from '../protocol/index.js';
 
-/** What one rank holds of one set. */
+/** Experts of one rank in one set. */
 export interface MapRow {
   readonly set: number;
   readonly rank: number;
   readonly experts: readonly number[];
 }
 
-/** Rows in which a map differs from another of the same shape. */
+/** Rows of `after` that differ from `before`; both maps have the same shape. */
 export function diffMap(before: GroupMap, after: GroupMap): readonly MapRow[] {
   return after.flatMap((ranks, set) =>
     ranks.flatMap((experts, rank) => {
@@ -20,7 +20,7 @@
   );
 }
 
-/** The map that has these rows in place of another's. */
+/** Returns `before` with these rows replaced. */
 export function applyMapDiff(before: GroupMap, rows: readonly MapRow[]): GroupMap {
   const next = before.map((ranks) => [...ranks]);
   rows.forEach(({ set, rank, experts }) => {
--- a/src/coordination/MapPlanTrigger.ts
+++ b/src/coordination/MapPlanTrigger.ts
@@ -1,35 +1,39 @@
-/** What a copied expert must gain, by how near the group's passes come to the longest pause. */
+/**
+ * When a new map is planned, and the gain that a copied expert must bring, depending on how close the group's pass
+ * time is to the longest pause.
+ */
 
-/** Part of the longest pause from which on a pass is worth making shorter. */
+/** Pass time, as a share of the longest pause, from which it is worth reducing. */
 const MIN_PASS_SHARE = 0.5;
 
-/** Part of the longest pause from which on shorter passes are worth whatever they cost. */
+/** Pass time, as a share of the longest pause, from which even the minimum gain is worth a copy. */
 const FULL_PASS_SHARE = 0.8;
 
-/** Gain a copy must bring where passes are only just worth making shorter. */
+/** Gain that a copy must bring at {@link MIN_PASS_SHARE}. */
 const MAX_REQUIRED_GAIN = 0.03;
 
-/** Time after a group has formed anew in which it is planned for whatever its passes take, ms. */
+/** Time after a group has re-formed in which maps are planned regardless of its pass time, ms. */
 const NEW_GROUP_MS = 1_500;
 
-/** What tells how much a copied expert must gain. */
+/** Conditions that determine the gain that a copied expert must bring. */
 export interface PlanConditions {
-  /** Time of a pass lately; null where none is known. */
+  /** Recent pass time, ms; null if unknown. */
   readonly passMs: number | null;
-  /** Longest pause between two events of a stream that is on time, ms. */
+  /** Longest pause between two events of a stream that is still on time, ms. */
   readonly pauseMs: number;
-  /** Whether the group uses the map that it has when it forms. */
+  /** Whether the group uses the map that it had when it formed. */
   readonly usesInitialMap: boolean;
-  /** Time since the group formed anew, ms; without end where it never did. */
+  /** Time since the group re-formed, ms; Infinity if it never did. */
   readonly formedMsAgo: number;
 }
 
 /**
- * What a copied expert must gain now; null where passes are short enough as they are. Answers are late only where a pass
- * comes near the longest pause, so the nearer it comes, the less a copy must gain.
+ * Gain that a copied expert must bring now, as a share of the mean rank load; null if the pass time is short
+ * enough. Answers are late only if the pass time comes close to the longest pause, so the closer it is, the less a
+ * copy must gain.
  *
- * A group with its first map is not asked for its passes: that map takes no account of demand, and traffic that has
- * just begun makes its passes long before a map that is planned then is in use.
+ * The pass time of a group with its initial map is ignored: that map takes no account of demand, and new traffic
+ * makes passes long before a map that is planned then is in use.
  */
 export function requiredGain(conditions: PlanConditions, minGain: number): number | null {
   const { passMs, pauseMs, usesInitialMap, formedMsAgo } = conditions;
@@ -44,20 +48,20 @@
   return minGain + (MAX_REQUIRED_GAIN - minGain) * Math.min(1, slack);
 }
 
-/** What was known when a map was last planned, and is now. */
+/** State at the last plan and now. */
 export interface PlanHistory {
   /** Time since the last plan, ms. */
   readonly plannedMsAgo: number;
-  /** Time since the group formed anew, ms; without end where it never did. */
+  /** Time since the group re-formed, ms; Infinity if it never did. */
   readonly formedMsAgo: number;
-  /** Shifts of demand seen by then, and by now. */
+  /** Number of demand shifts detected up to the last plan, and up to now. */
   readonly shiftsAtPlan: number;
   readonly shifts: number;
 }
 
 /**
- * Whether a plan is due before the next counts are in: demand has shifted while a change of map was under way that was
- * planned for what came before, or the group has formed anew and its map is known.
+ * Whether to plan before the next counts arrive: demand has shifted during a map change that was planned for the
+ * earlier demand, or the group has re-formed. The caller checks that its map is known.
  */
 export function isPlanDue(history: PlanHistory): boolean {
   return history.formedMsAgo < history.plannedMsAgo || history.shifts > history.shiftsAtPlan;
--- a/src/coordination/RankSlowdown.ts
+++ b/src/coordination/RankSlowdown.ts
@@ -1,17 +1,20 @@
-/** How many times the usual time each rank of a group takes, as plans and requests count it. */
+/**
+ * Slowdown of each rank of a group, its time as a multiple of the usual one, as plans and request placement use
+ * it.
+ */
 
-/** Slower ranks than this are planned for as this slow: they are left next to nothing either way. */
+/** Maximum slowdown in plans: slower ranks get almost no load in either case. */
 const MAX_SLOWDOWN = 16;
 
-/** From this pace on a rank gets no requests while others have places. */
+/** Slowdown from which a rank gets no requests while other ranks have free slots. */
 const SLOW_RANK_SLOWDOWN = 2;
 
-/** Ranks that requests are better not sent to: every pass of the group lasts as long as the slowest rank's part. */
+/** Ranks that requests should not be sent to: every pass of the group takes as long as the slowest rank's part. */
 export function slowRanks(slowdowns: readonly number[]): readonly number[] {
   return slowdowns.flatMap((slowdown, rank) => (slowdown >= SLOW_RANK_SLOWDOWN ? [rank] : []));
 }
 
-/** Pace that a rank is planned for. */
+/** Slowdown of a rank in plans, 1 to {@link MAX_SLOWDOWN}. */
 export function slowdownOf(slowdowns: readonly number[], rank: number): number {
   return Math.min(MAX_SLOWDOWN, Math.max(1, slowdowns[rank] ?? 1));
 }
