--- a/src/coordination/MapPlan.ts
+++ b/src/coordination/MapPlan.ts
@@ -1,46 +1,46 @@
 /**
- * Plans a group's next expert map: few changes from the map in use, the hottest experts first on more
- * ranks. A pass lasts, set by set, as long as its most loaded rank, so what counts is the sum over
- * sets of the largest load.
+ * Plans a group's next expert map: a few changes to the map in use, which place the hottest experts on more ranks
+ * first. Set by set, a pass takes as long as its most loaded rank, so the plan reduces the sum over sets of the
+ * largest load.
  */
 import type { GroupMap } from '../protocol/index.js';
 import { MapPlanSearch } from './MapPlanSearch.js';
 import { MapPlanSet } from './MapPlanSet.js';
 
-/** Shape of a map, and what a change may bring. */
+/** Limits of a map, and of one change to it. */
 export interface MapShape {
-  /** Experts that a rank holds at most, a set. */
+  /** Maximum number of experts on a rank, per set. */
   readonly slotsPerRank: number;
-  /** Experts new to a rank that one change may bring, a set. */
+  /** Maximum number of experts that one change adds to a rank, per set. */
   readonly maxNewExperts: number;
 }
 
-/** What a change must be worth. */
+/** Limits on the cost of a change, and the gain that it must bring. */
 export interface MapPolicy {
-  /** Experts new to one rank over all sets: copying them takes the time until the switch. */
+  /** Maximum number of experts added to one rank over all sets: the switch waits until they are copied. */
   readonly maxCopiesPerRank: number;
-  /** Part of the mean load that each copied expert must take off the most loaded rank; without end for no change. */
+  /** Share of the mean load that each copied expert must take off the most loaded rank; Infinity for no change. */
   readonly gainPerCopy: number;
 }
 
-/** A planned map with the figures that its log line needs. */
+/** A planned map, with the figures for its log line. */
 export interface PlannedMap {
   readonly map: GroupMap;
-  /** Experts that ranks must copy. */
+  /** Number of experts that ranks must copy. */
   readonly copies: number;
-  /** Largest over mean load, averaged over sets, before and after. */
+  /** Ratio of the largest to the mean rank load, averaged over sets, before and after the change. */
   readonly skewBefore: number;
   readonly skewAfter: number;
 }
 
-/** Most changes of one set in one plan; each rank may take a few. */
+/** Maximum number of changes in one plan, as an average per set; each rank may take several. */
 const MAX_CHANGES_PER_SET = 64;
 
 function meanSkew(sets: readonly MapPlanSet[]): number {
   return sets.reduce((sum, { skew }) => sum + skew, 0) / sets.length;
 }
 
-/** The most uneven of the sets that can still be made more even. */
+/** The set with the largest skew among those that may still be improved; null for none. */
 function mostSkewed(candidates: ReadonlySet<MapPlanSet>): MapPlanSet | null {
   return [...candidates].reduce<MapPlanSet | null>(
     (worst, set) => (worst === null || set.skew > worst.skew ? set : worst),
@@ -48,7 +48,7 @@
   );
 }
 
-/** Changes sets in turn, the most uneven first, until nothing more is worth a copy. */
+/** Changes the set with the largest skew, again and again, until no further change is worth its copies. */
 function balanceSets(
   sets: readonly MapPlanSet[],
   search: MapPlanSearch,
@@ -70,11 +70,12 @@
 }
 
 /**
- * Plans the next map from each expert's expected load, by set. Sets take turns, the most uneven
- * first, so that the copies that a rank may make go where they shorten the pass most.
+ * Plans the next map from each expert's expected load, by set. The set with the largest skew is changed first, so
+ * that the copies that a rank may make are used where they shorten the pass most.
  *
- * `paces` tells how many times the usual time each rank takes. All ranks wait for the slowest, so that a rank
- * at half its speed with an even share makes the experts' part of each pass twice as long; it gets half.
+ * `slowdowns` holds the time of each rank as a multiple of the usual one. All ranks wait for the slowest, so a
+ * rank at half speed with an even share would make the experts' part of each pass twice as long; it gets half the
+ * share.
  */
 export function planMap(
   currentMap: GroupMap,
--- a/src/coordination/MapPlanSearch.ts
+++ b/src/coordination/MapPlanSearch.ts
@@ -1,22 +1,22 @@
-/** Search for the change of one set that takes most off its most loaded rank for each expert copied. */
+/** Search for the change to one set that reduces its peak load most for each copied expert. */
 import { NONE, PEAK_ORDER, peakTerm, type MapPlanChange, type MapPlanSet } from './MapPlanSet.js';
 
-/** Ranks of least load that are looked at for an expert of the most loaded one. */
+/** Number of least loaded ranks that are considered for an expert of the most loaded one. */
 const COLD_RANKS = 4;
 
-/** What a change without a copy is taken to cost, in copies. */
+/** Assumed cost of a change that needs no copy, in copies. */
 const NO_COPY_COST = 0.5;
 
-/** Copies that one change may need: none, at one rank, or at both. */
+/** Maximum number of copies of one change, which may need one at each of two ranks. */
 const MAX_COPIES = 2;
 
-/** Room that is left for copies. */
+/** Limits on the changes that are searched. */
 export interface MapPlanLimits {
-  /** Experts that a rank holds at most, a set. */
+  /** Maximum number of experts on a rank, per set. */
   readonly slotsPerRank: number;
   /** Whether a rank may copy another expert of the set. */
   readonly mayCopy: (set: MapPlanSet, rank: number) => boolean;
-  /** What a copy must take off the peak. */
+  /** Amount by which each copy must reduce the peak load, as a share of the mean load. */
   readonly gainPerCopy: number;
 }
 
@@ -28,7 +28,7 @@
   return loads.reduce((hot, load, rank) => (load > (loads[hot] ?? 0) ? rank : hot), 0);
 }
 
-/** Ranks of least load, the least loaded last. */
+/** The `size` least loaded ranks, the least loaded last. */
 function coldestRanks(loads: Float64Array, size: number): readonly number[] {
   const cold: number[] = [];
   loads.forEach((load, rank) => {
@@ -44,7 +44,7 @@
   return cold;
 }
 
-/** What the sum of the parts changes by where a load goes from one rank to another. */
+/** Change of the sum of peak terms if a load moves from one rank to another. */
 function transferDelta(set: MapPlanSet, from: number, to: number, load: number): number {
   const { rankLoads, peakTerms } = set;
   const less = peakTerm((rankLoads[from] ?? 0) - load * set.slowdownAt(from));
@@ -52,20 +52,22 @@
   return less + more - (peakTerms[from] ?? 0) - (peakTerms[to] ?? 0);
 }
 
-/** By how much an expert's share at each holder grows with so many holders more. */
+/** Change of an expert's load at each holder if the number of holders changes by `added`. */
 function shareDelta(set: MapPlanSet, expert: number, added: number): number {
   const count = set.replicaCount(expert);
   return (set.expertLoads[expert] ?? 0) * (1 / (count + added) - 1 / count);
 }
 
-/** One is kept for a whole plan. */
+/** Searches one set after another; one instance serves a whole plan. */
 export class MapPlanSearch {
   readonly #limits: MapPlanLimits;
 
-  /** Changes of loads by rank while a change is weighed; zero in between. */
+  /** Load changes by rank for the change being evaluated; all 0 in between. */
   readonly #loadDeltas: Float64Array;
 
-  /** What the sum of the parts must fall below to be better than the best so far, by copies. */
+  /**
+   * Sum of peak terms that a change must stay below to be better than the best so far, by its number of copies.
+   */
   readonly #thresholds = new Float64Array(MAX_COPIES + 1);
 
   #best: MapPlanChange | null = null;
@@ -79,7 +81,7 @@
     this.#loadDeltas = new Float64Array(ranks);
   }
 
-  /** The change that gains most for each copy; null where none is worth one. */
+  /** Finds the change with the largest gain per copy; null if none gains enough. */
   find(set: MapPlanSet): MapPlanChange | null {
     const { rankLoads, peakTerms } = set;
     this.#best = null;
@@ -94,7 +96,7 @@
     return this.#best;
   }
 
-  /** Only what gains more than this for each copy is looked for from now on. */
+  /** Raises the gain per copy that further changes must exceed. */
   #requireGain(perCopy: number): void {
     for (let copies = 0; copies <= MAX_COPIES; copies += 1) {
       const peak = Math.max(0, this.#peak - perCopy * costOf(copies));
@@ -118,7 +120,7 @@
     }
   }
 
-  /** Experts of the most loaded rank that others hold as well: taking them away needs no copy. */
+  /** Evaluates removing an expert of the most loaded rank that other ranks hold as well, which needs no copy. */
   #tryRemovals(set: MapPlanSet, hot: number): void {
     set.expertsByRank[hot]?.forEach((expert) => {
       if (set.replicaCount(expert) > 1) {
@@ -129,7 +131,7 @@
     });
   }
 
-  /** Changes that put an expert of the most loaded rank on a less loaded one. */
+  /** Evaluates placing an expert of the most loaded rank on a less loaded one. */
   #tryPlacements(set: MapPlanSet, hot: number, to: number): void {
     const hasFreeSlot = (set.expertsByRank[to]?.length ?? 0) < this.#limits.slotsPerRank;
     const mayCopyTo = this.#limits.mayCopy(set, to);
@@ -149,7 +151,10 @@
     });
   }
 
-  /** Changes that put an expert in the place of another, which its other holders or the hot rank take. */
+  /**
+   * Evaluates replacing an expert of the less loaded rank, whose load goes to its other holders or to the hot
+   * rank.
+   */
   #tryReplacements(set: MapPlanSet, expert: number, hot: number, to: number, copies: number): void {
     const mayCopyToHot = this.#limits.mayCopy(set, hot);
     const share = set.loadPerReplica(expert);
@@ -165,7 +170,9 @@
     });
   }
 
-  /** One copy more of an expert, in place of a copy of another if `drop` names one. */
+  /**
+   * Evaluates one more replica of an expert, which replaces a replica of `evicted` unless that is {@link NONE}.
+   */
   #tryReplica(set: MapPlanSet, expert: number, to: number, evicted: number, copies: number): void {
     this.#addLoadToHolders(set, expert, 1);
     this.#addLoad(set, to, set.loadPerReplica(expert) + shareDelta(set, expert, 1));
@@ -185,7 +192,7 @@
     this.#loadDeltas[rank] = (this.#loadDeltas[rank] ?? 0) + load * set.slowdownAt(rank);
   }
 
-  /** What the sum of the parts changes by, over all ranks touched; clears the table for the next change. */
+  /** Change of the sum of peak terms over all affected ranks; resets their load changes for the next candidate. */
   #takeDeltas(set: MapPlanSet, expert: number, evicted: number, to: number): number {
     let delta = to === NONE ? 0 : this.#takeDelta(set, to);
     set.ranksByExpert[expert]?.forEach((rank) => {
--- a/src/coordination/MapPlanSet.ts
+++ b/src/coordination/MapPlanSet.ts
@@ -1,26 +1,29 @@
 /**
- * One set of a group's experts while its next map is planned: which rank holds what, and how loaded it is.
- * Flat tables, changed in place: a plan weighs some ten thousand changes.
+ * One set of a group's experts while its next map is planned: the experts and the load of each rank. Uses flat
+ * arrays that are changed in place, since a plan evaluates some ten thousand changes.
  */
 import { slowdownOf } from './RankSlowdown.js';
 
-/** Stands for no rank, and for no expert. */
+/** Stands for no rank or no expert. */
 export const NONE = -1;
 
-/** Puts an expert on a rank, in place of another there if `drop` names one, or only takes it from one. */
+/**
+ * Adds an expert to a rank, where it replaces `evicted` unless that is {@link NONE}, or only removes it from a
+ * rank.
+ */
 export interface MapPlanChange {
   readonly expert: number;
-  /** Rank that takes it; {@link NONE} where its other holders are enough. */
+  /** Rank that gets the expert; {@link NONE} if its other holders are enough. */
   readonly to: number;
   readonly evicted: number;
-  /** Rank that gives the expert up, and takes `drop` for it; {@link NONE} to keep both copies. */
+  /** Rank that gives up the expert and gets `evicted` in exchange; {@link NONE} to keep both replicas. */
   readonly from: number;
 }
 
-/** Order of the mean that stands for the maximum: at 16 a change at any hot rank shows. */
+/** Order of the power mean that stands for the maximum: at 16 a change at any hot rank has an effect. */
 export const PEAK_ORDER = 16;
 
-/** A load's part in the sum behind the mean of order {@link PEAK_ORDER}. */
+/** Term of a load in the sum behind the power mean of order {@link PEAK_ORDER}. */
 export function peakTerm(load: number): number {
   const square = load * load;
   const fourth = square * square;
@@ -36,7 +39,7 @@
   list.splice(list.indexOf(item), 1);
 }
 
-/** Loads are relative to the mean of the ranks, were all at the usual pace. */
+/** Loads are relative to the mean rank load without slowdowns. */
 export class MapPlanSet {
   readonly expertLoads: Float64Array;
 
@@ -46,16 +49,14 @@
 
   readonly peakTerms: Float64Array;
 
-  /** Experts of each rank. */
   readonly expertsByRank: readonly number[][];
 
-  /** Ranks of each expert. */
   readonly ranksByExpert: readonly number[][];
 
-  /** Experts planned in that were new to their rank, by rank. */
+  /** Number of experts added to each rank that it must copy; an expert that is removed again still counts. */
   readonly copiesByRank: Uint16Array;
 
-  /** What each rank holds in the map in use: bringing one of these back costs no copy. */
+  /** Experts of each rank in the map in use: adding one of these back needs no copy. */
   readonly #currentMap: readonly (readonly number[])[];
 
   #skew: number;
@@ -92,7 +93,7 @@
     this.#skew = mean === 0 ? 1 : largest(this.rankLoads);
   }
 
-  /** Largest over mean load. */
+  /** Ratio of the largest to the mean rank load. */
   get skew(): number {
     return this.#skew;
   }
@@ -101,12 +102,12 @@
     return this.slowdowns[rank] ?? 1;
   }
 
-  /** Ranks that hold an expert. */
+  /** Number of ranks that hold an expert. */
   replicaCount(expert: number): number {
     return this.ranksByExpert[expert]?.length ?? 0;
   }
 
-  /** Load that an expert brings to each of its holders. */
+  /** Load that an expert adds to each of its holders, without slowdowns. */
   loadPerReplica(expert: number): number {
     return (this.expertLoads[expert] ?? 0) / this.replicaCount(expert);
   }
@@ -120,7 +121,7 @@
     return !(this.#currentMap[rank]?.includes(expert) ?? false);
   }
 
-  /** Carries a change out; returns the ranks that must copy an expert for it. */
+  /** Applies a change; returns the ranks that must copy an expert for it. */
   apply({ expert, to, evicted, from }: MapPlanChange): readonly number[] {
     const copying = [
       ...(to !== NONE && this.needsCopy(to, expert) ? [to] : []),
@@ -137,7 +138,7 @@
     return copying;
   }
 
-  /** Experts that ranks have to copy in the end: one that was planned in may have been planned out again. */
+  /** Number of experts that ranks must copy for the final map; one that was added may have been removed again. */
   countCopies(): number {
     return this.expertsByRank.reduce(
       (sum, experts, rank) => sum + experts.filter((expert) => this.needsCopy(rank, expert)).length,
@@ -145,7 +146,7 @@
     );
   }
 
-  /** Gives an expert to one rank, takes it from another, and shares its load out anew. */
+  /** Adds an expert to one rank, removes it from another, and redistributes its load over its holders. */
   #transfer(expert: number, to: number, from: number): void {
     this.#addLoad(expert, -1);
     if (to !== NONE) {
