--- a/src/coordination/MapStages.ts
+++ b/src/coordination/MapStages.ts
@@ -1,25 +1,25 @@
-/** Time from a demand that the map in use doesn't suit to a map that does, by stages. */
+/** Time from a demand that the map in use doesn't suit to a map that does, by stage. */
 import type { MapSwitchPhase } from './MapSwitchTypes.js';
 
-/** A map whose most loaded rank has this many times the mean is behind the demand. */
+/** A map is behind the demand if its most loaded rank has this many times the mean load. */
 const UNEVEN_SKEW = 1.3;
 
-/** Stages of a change of map, ms. */
+/** Durations of the stages of a map change, ms. */
 export interface MapStageTimes {
-  /** From the first reading of counts that showed the map to be behind to the one that is planned from. */
+  /** From the first counts that showed the map to be behind to the start of the plan. */
   readonly waitMs: number;
-  /** Age of the counts that are planned from: from their reading to the plan. */
+  /** Age of the counts at the start of the plan, since they were read. */
   readonly countsMs: number;
   readonly planMs: number;
   /** Until all ranks had their copies. */
   readonly copyMs: number;
   readonly holdMs: number;
   readonly armMs: number;
-  /** Until all ranks were seen to use the map. */
+  /** Until all ranks reported that they use the map. */
   readonly releaseMs: number;
 }
 
-/** Keeps the times of the change under way. */
+/** Records the stage times of the change in progress. */
 export class MapStages {
   #unevenSince: number | null = null;
 
@@ -31,13 +31,13 @@
 
   readonly #enteredAt = new Map<MapSwitchPhase, number>();
 
-  /** Counts have been read, and show this skew under the map in use. */
+  /** Records counts of the given age, and the skew that they show under the map in use. */
   onCounts(skew: number, countsMs: number, now: number): void {
     this.#countsMs = countsMs;
     this.#unevenSince = skew < UNEVEN_SKEW ? null : (this.#unevenSince ?? now);
   }
 
-  /** A map is proposed. */
+  /** Records a proposed map, and the time that its planning took. */
   onPlan(planMs: number, now: number): void {
     this.#planMs = planMs;
     this.#waitMs = Math.max(0, now - planMs - (this.#unevenSince ?? now - planMs));
@@ -48,7 +48,7 @@
     this.#enteredAt.set(phase, this.#enteredAt.get(phase) ?? now);
   }
 
-  /** The map is in use: what its stages took. */
+  /** Ends the change, once its map is in use, and returns its stage times. */
   finish(now: number): MapStageTimes {
     this.#unevenSince = null;
     const between = (from: MapSwitchPhase, to: MapSwitchPhase): number =>
--- a/src/coordination/MapSwitch.ts
+++ b/src/coordination/MapSwitch.ts
@@ -1,13 +1,13 @@
 /**
- * Change of the expert map of a group whose ranks switch at a pass that each was armed for: all of
- * them must go over before the same pass, though orders get lost, or are carried out seconds later.
+ * Change of the expert map of a group whose ranks switch at a pass that each was armed for. All of them must
+ * switch before the same pass, even if orders are lost or carried out seconds later.
  *
- * One rank is told to hold the group before the pass of the switch, and that is confirmed before the
- * first rank is armed; it is released only once every rank is seen armed. So the pass can't begin
- * while ranks differ, whatever became of any order. Each try has a version and a pass of its own:
- * an order of an earlier try that is carried out late meets a version that is no longer prepared or
- * a pass that has begun, and changes nothing. The coordinator sends what the newest reports lack
- * again and again, and believes reports, never the fate of its orders.
+ * One rank is ordered to hold the group before the pass of the switch, and must confirm it before the first rank
+ * is armed; it is released only once every rank is reported armed. So the pass can't begin while ranks differ,
+ * whatever happened to any order. Each attempt has its own version and pass: an order of an earlier attempt that
+ * is carried out late finds that its version is no longer prepared or its pass has begun, and changes nothing. The
+ * coordinator keeps sending the orders that the latest reports show to be missing, and relies on reports only,
+ * never on the results of its orders.
  */
 import type { EngineOrder, RankReport } from '../protocol/index.js';
 import { completeReports, ORDER_BY_PHASE } from './MapSwitchOrders.js';
@@ -19,28 +19,31 @@
   MapSwitchStep,
 } from './MapSwitchTypes.js';
 
-/** Passes between the hold and the switch: orders take some 20 ms, a pass 45 ms or more. */
+/** Passes between the order to hold and the switch: orders take some 20 ms, a pass 45 ms or more. */
 export const LEAD_PASSES = 3;
 
-/** Passes more where orders get lost, each of which is sent again after a timeout. */
+/** The same if orders get lost, each of which is sent again after a timeout. */
 export const LOSSY_LEAD_PASSES = 8;
 
-/** Orders without an answer after which the way is taken for lossy. */
+/** Number of recent unanswered orders from which the connection is considered lossy. */
 const LOSSY_UNANSWERED_ORDERS = 3;
 
-/** An order without an answer is sent again after this long, ms. */
+/** An order whose effect isn't reported is sent again after this time, ms. */
 export const RESEND_MS = 120;
 
-/** A whole map may take most of a second to reach all ranks of a large group over its coordinator's link. ms. */
+/**
+ * The same for an order with a whole map, which may take most of a second to reach all ranks of a large group over
+ * the coordinator's link, ms.
+ */
 export const RESEND_MAP_MS = 1_500;
 
-/** A version that isn't prepared on all ranks after this long won't be: copying takes under 1 s. In ms. */
+/** A version that isn't prepared on all ranks after this time is abandoned, ms: copying takes less than 1 s. */
 export const PREPARE_TIMEOUT_MS = 4_000;
 
-/** Versions of one token; a new token's versions are all higher. */
+/** Number of versions per token; the versions of a new token are all higher. */
 export const VERSIONS_PER_TOKEN = 100_000;
 
-/** A coordinator without a lease. */
+/** State of a coordinator without a lease. */
 export function initMapSwitch(ranks: number, ownRank: number): MapSwitchState {
   return {
     ranks,
@@ -75,7 +78,7 @@
   return { attempts, version: state.token * VERSIONS_PER_TOKEN + attempts };
 }
 
-/** All ranks armed for one version and pass: what was begun is as good as done. */
+/** Whether all ranks are armed for the same version and pass, so that only the release is missing. */
 function areArmedAlike(reports: readonly RankReport[]): boolean {
   const [first] = reports;
   return reports.every(
@@ -85,13 +88,12 @@
 }
 
 /**
- * Sorts out what a predecessor left.
+ * Handles an unfinished change of a predecessor.
  *
- * Failure: a coordinator dies when some ranks are armed and the group is held, and orders of its own
- * are still to be carried out. Symptom: released as it is, the group begins a pass with two maps;
- * left as it is, it stands still. Enough: where all ranks are armed alike the change is finished;
- * else the group stays held until every rank has prepared a newer version, after which no late order
- * can arm the old one.
+ * A coordinator may crash while some ranks are armed, the group is held and some of its orders are still to be
+ * carried out. If the group were released as it is, a pass would use two maps; if it were left as it is, the group
+ * would stay blocked. If all ranks are armed alike, the change is finished; otherwise the group stays held until
+ * every rank has prepared a newer version, after which no late order can arm the old one.
  */
 function recoverChange(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
   const isArmed = reports.some((report) => report.armed !== null);
@@ -108,7 +110,7 @@
   return enterPhase(state, 'idle');
 }
 
-/** How long to wait for an order's effect: a whole map takes long on its way, all else is short. */
+/** Time to wait for an order's effect, ms; an order with a whole map takes longer to arrive than the others. */
 function resendDelay({ phase }: MapSwitchState, order: EngineOrder): number {
   return phase === 'preparing' && order.kind === 'prepare' ? RESEND_MAP_MS : RESEND_MS;
 }
@@ -138,7 +140,7 @@
 function choosePass(state: MapSwitchState, reports: readonly RankReport[]): MapSwitchStep {
   const leadPasses =
     state.unansweredOrders >= LOSSY_UNANSWERED_ORDERS ? LOSSY_LEAD_PASSES : LEAD_PASSES;
-  // Each pass is used once: a late order for an earlier try must find that it has begun.
+  // Each pass is used only once: a late order of an earlier attempt must find that its pass has begun.
   const step = Math.max(latestStep(reports) + leadPasses, state.step + 1);
   return enterPhase({ ...state, step }, 'holding');
 }
@@ -171,11 +173,11 @@
 }
 
 /**
- * Gives a version up before anything was armed.
+ * Abandons a version before any rank is armed.
  *
- * Failure: the map in use isn't what this coordinator believes, so a rank has to copy more than it may
- * and refuses. Symptom: the change is never prepared, and no other begun. Enough: the version is dropped,
- * what the ranks hold is read again, and the next plan starts from there.
+ * If the map in use isn't the one that this coordinator assumes, a rank would have to copy more than it may, and
+ * refuses. The change would never be prepared, and no other begun. So the version is dropped, the map of the ranks
+ * is read again, and the next plan starts from it.
  */
 function abandonVersion(state: MapSwitchState): MapSwitchStep {
   const step = enterPhase(state, 'idle');
@@ -185,7 +187,7 @@
   };
 }
 
-/** What follows from a view of all ranks, by phase. */
+/** Transitions once the reports of all ranks are complete, by phase. */
 const ADVANCE: Readonly<Partial<Record<MapSwitchPhase, Advance>>> = {
   observing: recoverChange,
   voiding: (state, reports) =>
@@ -215,7 +217,7 @@
   releasing: finishChange,
 };
 
-/** Goes through as many phases as the view allows, then sends what is lacking. */
+/** Advances through as many phases as the reports allow, then sends the missing orders. */
 function proceed(step: MapSwitchStep, now: number): MapSwitchStep {
   const { state } = step;
   const reports = completeReports(state);
@@ -228,7 +230,7 @@
   return { state: sent.state, outputs: [...step.outputs, ...sent.outputs] };
 }
 
-/** The group has formed anew: maps, orders and holds are all forgotten. */
+/** The group has re-formed, and all its maps, orders and holds are discarded. */
 function onEpoch(state: MapSwitchState, epoch: number, now: number): MapSwitchStep {
   const next: MapSwitchState = {
     ...state,
@@ -260,12 +262,11 @@
 }
 
 /**
- * Begins under a lease.
+ * Starts under a lease.
  *
- * Failure: a lease runs out while control elects a leader, and is granted to its holder again with the
- * same token. Symptom: versions that began anew would be refused by every rank as long as the group
- * lives, and late orders of an earlier try would meet the same version with another map. Enough: tries
- * are counted through all leases of the process.
+ * If a lease expires during a leader election, its holder may be granted it again with the same token. If versions
+ * started over, every rank would refuse them as long as the group exists, and late orders of an earlier attempt
+ * would name the same version with another map. So attempts are counted across all leases of the process.
  */
 function onGained(
   state: MapSwitchState,
@@ -285,7 +286,8 @@
     result === 'unknown'
       ? Math.min(2 * LOSSY_UNANSWERED_ORDERS, state.unansweredOrders + 1)
       : state.unansweredOrders;
-  // The next report tells whether it is lacking still; one that failed at once isn't repeated at once.
+  // After an unknown result the next report shows whether the order is still missing; a refused order isn't
+  // repeated at once.
   const nextOrderAt = state.nextOrderAt.map((at, i) =>
     i === rank && result === 'unknown' ? null : at,
   );
@@ -319,7 +321,7 @@
   tick: (state, _input, now) => proceed({ state, outputs: [] }, now),
 };
 
-/** One step of a coordinator. */
+/** Applies an input to the state of a coordinator. */
 export function stepMapSwitch(
   state: MapSwitchState,
   input: MapSwitchInput,
--- a/src/coordination/MapSwitchOrders.ts
+++ b/src/coordination/MapSwitchOrders.ts
@@ -1,8 +1,8 @@
-/** The order that each rank of a group lacks, by what it reports and where its coordinator stands. */
+/** Selects the order that each rank of a group still needs, from its report and the coordinator's phase. */
 import type { EngineOrder, RankReport } from '../protocol/index.js';
 import type { MapSwitchPhase, MapSwitchState } from './MapSwitchTypes.js';
 
-/** Reports of all ranks, if each has one of this epoch; null otherwise. */
+/** Reports of all ranks; null unless each rank has a current one of this epoch and is open. */
 export function completeReports(state: MapSwitchState): readonly RankReport[] | null {
   const reports = state.reports.flatMap((received) =>
     received !== null &&
@@ -48,9 +48,9 @@
   return heldStep === null ? null : { kind: 'release', epoch, step: heldStep };
 }
 
-/** The order that a rank lacks by its newest report, in each phase. */
+/** Selects the order that a rank still needs according to its latest report, by phase. */
 export const ORDER_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, OrderSelector>>> = {
-  // A hold that comes late, after its change is over, keeps the group from nothing but work.
+  // A hold that is carried out late, after its change has ended, would only block the group.
   idle: releaseOrder,
   preparing: (state, report) => releaseOrder(state, report) ?? prepareOrder(state, report),
   voiding: voidOrder,
@@ -69,7 +69,7 @@
 
 type AwaitsReport = (state: MapSwitchState, report: RankReport, rank: number) => boolean;
 
-/** Whether a rank's newest report leaves open what its phase waits for, in each phase. */
+/** Whether a rank's latest report doesn't show what the phase waits for yet, by phase. */
 const AWAITS_REPORT_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, AwaitsReport>>> = {
   preparing: ({ version }, { prepared }) => prepared !== version,
   voiding: ({ version }, { armed, prepared }) => armed !== null || prepared !== version,
@@ -79,8 +79,8 @@
 };
 
 /**
- * Whether a change under way needs another report of a rank. In a group of 72 ranks a look at all of them
- * each 60 ms was 1,200 questions a second, more than the coordinator's share of a core and link bears.
+ * Whether a change in progress needs another report of a rank. In a group of 72 ranks, reading all of them every
+ * 60 ms takes 1,200 requests a second, more than the coordinator's share of a core and link allows.
  */
 export function awaitsReport(state: MapSwitchState, rank: number): boolean {
   const received = state.reports[rank] ?? null;
--- a/src/coordination/MapSwitchTypes.ts
+++ b/src/coordination/MapSwitchTypes.ts
@@ -1,73 +1,73 @@
-/** What a coordinator of a group's expert maps knows, hears and says. */
+/** State, inputs and outputs of the coordinator of a group's expert maps. */
 import type { EngineOrder, GroupMap, OrderResult, RankReport } from '../protocol/index.js';
 
-/** Where a coordinator stands. */
+/** Phase of a coordinator. */
 export type MapSwitchPhase =
   /** Without a lease. */
   | 'off'
-  /** Waits for a report of every rank, all of one epoch. */
+  /** Waits for reports of all ranks, all of one epoch. */
   | 'observing'
   | 'idle'
-  /** Makes an unfinished change of a predecessor impossible before the group goes on. */
+  /** Makes sure that an unfinished change of a predecessor can't take effect before the group continues. */
   | 'voiding'
   | 'preparing'
   | 'holding'
   | 'arming'
   | 'releasing';
 
-/** A report with the time at which it was taken in, ms. */
+/** A report with the time at which it was received, ms. */
 export interface ReceivedReport {
   readonly report: RankReport;
   readonly receivedAt: number;
 }
 
-/** What a coordinator knows. */
+/** State of a coordinator. */
 export interface MapSwitchState {
   readonly ranks: number;
-  /** Rank on the coordinator's own host, which holds the group. */
+  /** Rank on the coordinator's own host, which is ordered to hold the group. */
   readonly ownRank: number;
   readonly phase: MapSwitchPhase;
   readonly token: number;
-  /** When the lease was gained, or a new epoch seen: older reports say nothing. */
+  /** When the lease was gained or a new epoch was first reported, ms; older reports are ignored. */
   readonly validSince: number;
   readonly epoch: number;
   readonly reports: readonly (ReceivedReport | null)[];
-  /** Version in the making, its map, and the pass before which it is switched to. */
+  /** Version being introduced, its map, and the pass before which the ranks switch to it. */
   readonly version: number;
   readonly map: GroupMap | null;
   readonly step: number;
-  /** Tries of this process; part of each version, so that none is used twice. */
+  /** Number of attempts of this process; part of each version, so that none is used twice. */
   readonly attempts: number;
-  /** Orders on their way: by rank, until when no other is sent, ms. */
+  /** Time from which the next order may be sent, by rank, ms; null if one may be sent at once. */
   readonly nextOrderAt: readonly (number | null)[];
-  /** Orders without an answer lately, which lengthen the way to the switch. */
+  /** Recent orders without an answer; many of them make the coordinator choose a later pass for the switch. */
   readonly unansweredOrders: number;
   readonly startedAt: number;
 }
 
-/** What goes in. */
+/** Inputs of a coordinator. */
 export type MapSwitchInput =
   | { readonly type: 'gained'; readonly token: number }
   | { readonly type: 'lost' }
   | { readonly type: 'report'; readonly rank: number; readonly report: RankReport }
   | { readonly type: 'answer'; readonly rank: number; readonly result: OrderResult }
   | { readonly type: 'propose'; readonly map: GroupMap }
-  /** The map in use, as the ranks list it; needs no copies, so it serves to void a change. */
+  /** The map in use, as the ranks report it; preparing it needs no copies, so it is used to void a change. */
   | { readonly type: 'mapInUse'; readonly map: GroupMap }
   | { readonly type: 'tick' };
 
-/** What comes out. */
+/** Outputs of a coordinator. */
 export type MapSwitchOutput =
   | { readonly type: 'order'; readonly rank: number; readonly order: EngineOrder }
   | { readonly type: 'phase'; readonly phase: MapSwitchPhase }
-  /** All ranks use the version; ms since it was proposed. */
+  /** All ranks use the version; `ms` is the time since it was proposed. */
   | { readonly type: 'changed'; readonly version: number; readonly ms: number }
-  /** The ranks don't take the version: what they are believed to hold must be read again. */
+  /** The ranks don't prepare the version: the map that they are assumed to hold must be read again. */
   | { readonly type: 'abandoned'; readonly version: number }
-  /** The group has formed anew, with its first map. */
+  /** The group has re-formed, with its initial map. */
   | { readonly type: 'reset'; readonly epoch: number };
 
-/** New state and outputs of a step. */
+/** New state and outputs after an input. */
 export interface MapSwitchStep {
   readonly state: MapSwitchState;
   readonly outputs: readonly MapSwitchOutput[];
--- a/src/coordination/OrderGate.ts
+++ b/src/coordination/OrderGate.ts
@@ -1,39 +1,42 @@
 /**
- * Fencing in front of an engine: which orders a gate passes on. Some engines ignore fencing tokens,
- * so the gate compares for all.
+ * Fencing in front of an engine: decides which orders a gate forwards. Some engines ignore fencing tokens, so the
+ * gate compares them for all engines.
  */
 
-/** What a gate knows of one group's or engine's fencing tokens. */
+/** Fencing tokens of one group or engine, as known to a gate. */
 export interface OrderGateState {
-  /** Highest token seen or learned; null after a restart, until a quorum has told it. */
+  /**
+   * Highest token seen in an order or reported by a quorum; null after a restart, until a quorum has reported it.
+   */
   readonly highestToken: number | null;
-  /** Orders passed on that the engine hasn't answered, by token. */
+  /** Tokens of the orders that were forwarded and that the engine hasn't answered. */
   readonly pendingTokens: readonly number[];
 }
 
-/** What becomes of an order. `wait`: send it again, once the gate has learned or is clear. */
+/**
+ * Decision on an order. `wait`: send it again once the gate has a quorum's report and older orders are answered.
+ */
 export type OrderVerdict = 'pass' | 'stale' | 'wait';
 
-/** A gate that has just started. */
+/** State of a gate that has just started. */
 export const INITIAL_ORDER_GATE: OrderGateState = { highestToken: null, pendingTokens: [] };
 
 /**
- * Takes what a quorum says is the highest token granted.
+ * Applies the highest granted token that a quorum reports.
  *
- * Failure: a gate restarts and has forgotten the highest token. Symptom: an order of a coordinator
- * long replaced, late on its way, is passed on. Enough: until a quorum has told the token, no order
- * passes.
+ * A gate that restarts doesn't know the highest token and might forward a late order of a coordinator that was
+ * replaced long ago. So no order passes before a quorum has reported the token.
  */
 export function raiseHighestToken(state: OrderGateState, token: number): OrderGateState {
   return { ...state, highestToken: Math.max(state.highestToken ?? 0, token) };
 }
 
 /**
- * Judges an order.
+ * Decides whether an order may pass.
  *
- * Failure: an order of the old coordinator was passed on and is still on its way to an engine that
- * ignores tokens, when the new coordinator's comes. Symptom: the engine carries out the old one
- * last. Enough: an order with a higher token waits until those with lower ones were answered.
+ * An order of the previous coordinator may have been forwarded and still be on its way to an engine that ignores
+ * tokens; the engine might then carry it out after the new coordinator's order. So an order waits until those with
+ * lower tokens were answered.
  */
 export function checkOrder(
   state: OrderGateState,
@@ -51,7 +54,7 @@
     : { state: { ...raised, pendingTokens: [...state.pendingTokens, token] }, verdict: 'pass' };
 }
 
-/** The engine has answered an order, or its connection is known to be dead. */
+/** Removes an order that the engine has answered, or whose connection is known to be closed. */
 export function completeOrder(state: OrderGateState, token: number): OrderGateState {
   const at = state.pendingTokens.indexOf(token);
   return { ...state, pendingTokens: state.pendingTokens.filter((_token, i) => i !== at) };
--- a/src/coordination/PassMonitor.ts
+++ b/src/coordination/PassMonitor.ts
@@ -1,31 +1,35 @@
-/** How long a group's passes take, and whether it has stopped making them, from reports of one rank. */
+/**
+ * Measures how long a group's passes take, and detects that it has stopped running them, from reports of one rank.
+ */
 import type { RankReport } from '../protocol/index.js';
 
-/** What was seen of a group's passes. */
+/** Observed passes of a group. */
 export interface PassMonitor {
-  /** Pass from which the present measurement counts, and when it was seen, ms. */
+  /** Pass at which the current measurement started, and when it was reported, ms. */
   readonly measuredFrom: { readonly step: number; readonly at: number } | null;
-  /** Time of a pass lately, ms; null where the group was idle or began anew. */
+  /** Latest measured pass time, ms; null if unknown, such as after the group was idle or re-formed. */
   readonly passMs: number | null;
   readonly lastStep: number;
-  /** When the last report came, ms. */
+  /** Time of the last report, ms. */
   readonly reportedAt: number;
-  /** When a pass was last seen to have begun, or the rank to be idle, ms. */
+  /** Time of the last report that showed a new pass or an idle rank, ms. */
   readonly progressAt: number;
-  /** Requests that the rank ran in its last report. */
+  /** Requests that the rank was running in its last report. */
   readonly active: number;
 }
 
-/** A measurement takes this long at least: some four passes. In ms. */
+/** Minimum duration of a measurement: some four passes. In ms. */
 const MIN_MEASUREMENT_MS = 200;
 
-/** Across a pause between reports of this length nothing is known of passes, ms. */
+/** Longest gap between two reports across which passes are measured, ms. */
 const MAX_REPORT_GAP_MS = 500;
 
-/** Without a new pass for this long a group with work is stalled, ms: three of the longest passes. */
+/**
+ * Time without a new pass after which a group with running requests is stalled, ms: three of the longest passes.
+ */
 const STALL_MS = 650;
 
-/** Nothing seen. */
+/** State before any report. */
 export const INITIAL_PASS_MONITOR: PassMonitor = {
   measuredFrom: null,
   passMs: null,
@@ -36,8 +40,8 @@
 };
 
 /**
- * Takes a report in. A measurement lasts until a pass has begun, and the pass takes at least as long as it has lasted so
- * far: with one slow rank a pass outlasts {@link MIN_MEASUREMENT_MS}.
+ * Applies a report. A measurement lasts until a pass has begun, and a pass takes at least as long as its
+ * measurement has lasted so far: with one slow rank a pass takes longer than {@link MIN_MEASUREMENT_MS}.
  */
 export function observeReport(
   state: PassMonitor,
@@ -68,16 +72,16 @@
     : { ...observed, passMs: Math.max(state.passMs ?? 0, elapsedMs) };
 }
 
-/** The group has formed anew: its passes are counted from the start. */
+/** Restarts the measurement after the group has re-formed, which counts its passes from the start again. */
 export function resetMeasurement(state: PassMonitor): PassMonitor {
   return { ...state, measuredFrom: null, passMs: null };
 }
 
 /**
- * Whether the group has begun no pass for a while though requests run.
+ * Whether the group hasn't begun a pass for some time although requests run.
  *
- * Failure: a rank is dead, and the engines wait for it before they say so. Symptom: requests go on
- * being sent into a group that answers none. Enough: passes that no longer begin show it at once.
+ * If a rank has crashed, the engines wait for it before they report the failure, and requests would still be sent
+ * to a group that answers none. Missing passes show it sooner.
  */
 export function isStalled({ active, progressAt }: PassMonitor, now: number): boolean {
   return active > 0 && now - progressAt > STALL_MS;
--- a/src/coordination/TokenBucket.ts
+++ b/src/coordination/TokenBucket.ts
@@ -1,26 +1,26 @@
-/** Pacing: a token bucket that keeps bulk transfers inside a budget of bytes a second. */
+/** Token bucket that keeps bulk transfers within a budget of bytes per second. */
 
-/** What control may cost a node. In bytes a second. */
+/** Traffic that the control plane may cause per node, in bytes per second. */
 export const BUDGET_BYTES_PER_SECOND = 16_000;
 
 /**
- * A process that has just attached may be sent this much at once: it serves nobody until it has the configuration,
- * and the budget holds over a minute. In bytes.
+ * Number of bytes that may be sent at once to a process that has just attached: it can't serve requests before it
+ * has the configuration, and the budget applies to a minute as a whole.
  */
 export const INITIAL_BUCKET_BYTES = 64_000;
 
-/** A bucket. It may be in debt, which the next sender waits out. */
+/** State of a bucket. `tokens`, in bytes, may be negative; the next sender waits until they are refilled. */
 export interface TokenBucket {
   readonly tokens: number;
   readonly updatedAt: number;
 }
 
-/** The bucket of a process that has just attached. */
+/** Bucket of a process that has just attached. */
 export function initTokenBucket(now: number): TokenBucket {
   return { tokens: INITIAL_BUCKET_BYTES, updatedAt: now };
 }
 
-/** Takes bytes out; `waitMs` is how long to hold what comes next. */
+/** Takes bytes from the bucket; `waitMs` is the time to wait before sending more. */
 export function takeBytes(
   state: TokenBucket,
   bytes: number,
