--- a/src/coordination/Placement.ts
+++ b/src/coordination/Placement.ts
@@ -1,55 +1,55 @@
 /**
- * Placement of a layer's experts on the slots of a group's ranks: small changes from the map in use,
- * made only where what they save in step time pays for what they cost.
+ * Placement of a layer's experts on the slots of a group's ranks: small changes to the map in use, made only if
+ * the step time that they save exceeds their cost.
  */
 import type { PlacementEstimate } from './PlacementEstimate.js';
 
-/** Experts on each rank's slots; an expert on several ranks has replicas, which share its load. */
+/** Experts in each rank's slots; an expert on several ranks has replicas, which share its load. */
 export type PlacementMap = readonly (readonly number[])[];
 
-/** What a change costs and for how long it is expected to hold. */
+/** Cost of a change, and how long it is expected to be of use. */
 export interface PlacementPolicy {
   /** Weight of step-time skew against the cost of moving, from the manifest; 0 to 1. */
   readonly skewWeight: number;
   /** Time of a step with even load, ms. */
   readonly stepMs: number;
-  /** Steps for which the load is expected to stay as it is. */
+  /** Number of steps for which the load is expected to stay as it is. */
   readonly stableSteps: number;
-  /** Cost of copying one expert's weights, as ms of step time lost to it. */
+  /** Cost of copying one expert's weights, in ms of lost step time. */
   readonly moveMs: number;
-  /** Experts that may be copied now, by the weight store's rate. */
+  /** Number of experts that may be copied now, given the rate of the weight store. */
   readonly maxMoves: number;
-  /** Speed of each rank; 1 is usual, less is slower. */
+  /** Relative speed of each rank: 1 is usual, less is slower. */
   readonly speeds: readonly number[];
 }
 
-/** One change of a slot: `expert` takes the place of what the slot held. */
+/** Change of one slot: `expert` replaces the expert that the slot held. */
 export interface PlacementMove {
   readonly rank: number;
   readonly slot: number;
   readonly expert: number;
 }
 
-/** A decision, with what the log line says of it. */
+/** A decision, with the figures for its log line. */
 export interface PlacementDecision {
   readonly map: PlacementMap;
   readonly moves: readonly PlacementMove[];
-  /** Estimated max/mean rank load before and after. */
+  /** Ratio of the largest to the mean estimated rank load, before and after. */
   readonly skewBefore: number;
   readonly skewAfter: number;
   readonly reason: 'balanced' | 'not_worth_it' | 'improved';
 }
 
-/** Ranks looked at for a hot expert: the least loaded ones. */
+/** Number of least loaded ranks that are considered for a hot expert. */
 const COLD_RANKS = 4;
 
-/** Order of the mean that stands for the maximum; at 8 a change at one of 64 ranks hardly shows. */
+/** Order of the power mean that stands for the maximum; at 8 a change at one of 64 ranks has hardly any effect. */
 const PEAK_ORDER = 32;
 
-/** Times its own uncertainty that a gain must exceed. */
+/** A gain must exceed its own uncertainty times this factor. */
 const UNCERTAINTY_FACTOR = 0.1;
 
-/** Part of an interval's variance that is left in the estimate: weight / (2 - weight). */
+/** Share of an interval's variance that remains in the estimate: weight / (2 - weight). */
 const RESIDUAL_VARIANCE = 0.15;
 
 interface WorkingMap {
@@ -63,7 +63,7 @@
   readonly gain: number;
 }
 
-/** Load of each rank, over its speed. */
+/** Load of each rank, divided by its speed. */
 export function rankLoads(
   map: PlacementMap,
   load: readonly number[],
@@ -78,13 +78,13 @@
   );
 }
 
-/** Largest over mean. */
+/** Ratio of the largest to the mean load. */
 export function skewOf(loads: readonly number[]): number {
   const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
   return mean === 0 ? 1 : Math.max(...loads) / mean;
 }
 
-/** Power mean of high order: close to the maximum, and it still falls where one of two maxima does. */
+/** Power mean of high order: close to the maximum, but it also falls if only one of two maxima does. */
 function peak(loads: readonly number[]): number {
   const sum = loads.reduce((total, load) => total + load ** PEAK_ORDER, 0);
   return (sum / loads.length) ** (1 / PEAK_ORDER);
@@ -96,7 +96,7 @@
   return { slots: map.map((slots) => [...slots]), holders, loads: [...loads] };
 }
 
-/** Loads after moves; only the ranks that hold the experts concerned are worked out anew. */
+/** Rank loads after the moves; only the ranks that hold the affected experts are recomputed. */
 function loadsAfter(
   { slots, holders, loads }: WorkingMap,
   moves: readonly PlacementMove[],
@@ -151,7 +151,7 @@
   return { slots, holders, loads };
 }
 
-/** Replaces a spare replica on the cold rank by one of the hot expert, or swaps the two. */
+/** Moves that replace an expert with other replicas on the cold rank by one of the hot rank, or swap the two. */
 function candidateMoves(
   { slots, holders }: WorkingMap,
   hot: number,
@@ -188,7 +188,7 @@
   return Math.sqrt(sum * RESIDUAL_VARIANCE);
 }
 
-/** The change at the most loaded rank that gains most for each expert copied. */
+/** Finds the change at the most loaded rank with the largest gain per copied expert; null if none gains. */
 function findBestCandidate(
   working: WorkingMap,
   estimate: PlacementEstimate,
@@ -215,11 +215,11 @@
 }
 
 /**
- * Whether a change pays.
+ * Whether a change saves more step time, while the load is expected to stay as it is, than its copies cost,
+ * weighted by the manifest.
  *
- * Failure: the map is solved anew at each interval. Symptom: weights move all the time for noise,
- * and streams are disturbed for a gain that is gone before it is reached. Enough: a change must save
- * more step time over the load's expected life than its copies cost, weighed by the manifest.
+ * If the map were recomputed at each interval, noise would keep moving weights, and streams would be disturbed for
+ * a gain that is gone before it is reached.
  */
 function isWorthItsCost(candidate: Candidate, mean: number, policy: PlacementPolicy): boolean {
   const saved = (candidate.gain / mean) * policy.stepMs * policy.stableSteps;
@@ -227,7 +227,7 @@
   return policy.skewWeight * saved > (1 - policy.skewWeight) * cost;
 }
 
-/** Decides on one layer. */
+/** Decides on the placement of one layer. */
 export function decidePlacement(
   map: PlacementMap,
   estimate: PlacementEstimate,
--- a/src/coordination/PlacementEstimate.ts
+++ b/src/coordination/PlacementEstimate.ts
@@ -1,4 +1,4 @@
-/** Estimate of each expert's load from counters that lag, drift and are noisy. */
+/** Estimates each expert's load from counters that lag, drift and are noisy. */
 
 /** Load of the experts of a layer, as shares: the mean over experts is 1. */
 export interface PlacementEstimate {
@@ -8,16 +8,16 @@
   readonly intervals: number;
 }
 
-/** Weight of the newest interval once many have been seen: a memory of some four intervals. */
+/** Weight of the newest interval after many intervals: a memory of some four intervals. */
 const MIN_WEIGHT = 0.25;
 
-/** Weight after a surprise: what was known before is of little use. */
+/** Weight of the newest interval after a load shift: the earlier estimate is of little use. */
 const SHIFT_WEIGHT = 0.8;
 
-/** Squared error over what was expected, averaged over experts, that counts as a surprise. */
+/** Ratio of the squared error to the expected one, over all experts, above which the load has shifted. */
 const SHIFT_ERROR_RATIO = 6;
 
-/** Nothing seen yet. */
+/** Estimate before any interval: even load. */
 export function initEstimate(experts: number): PlacementEstimate {
   const evenShares = Array.from({ length: experts }, () => 1);
   return { mean: evenShares, variance: evenShares.map(() => 0), intervals: 0 };
@@ -28,7 +28,7 @@
   return counts.map((count) => (total === 0 ? 1 : (count * counts.length) / total));
 }
 
-/** A topic shift shows as errors far beyond the noise, over all experts at once. */
+/** A shift of topics shows as errors far above the noise, over all experts at once. */
 function isLoadShift(estimate: PlacementEstimate, shares: readonly number[]): boolean {
   const expectedError = estimate.variance.reduce((sum, variance) => sum + variance, 0);
   const squaredError = shares.reduce(
@@ -38,7 +38,7 @@
   return estimate.intervals > 2 && squaredError > SHIFT_ERROR_RATIO * expectedError;
 }
 
-/** Takes in the counters of one interval. */
+/** Updates the estimate with the counters of one interval. */
 export function updateEstimate(
   estimate: PlacementEstimate,
   counts: readonly number[],
--- a/src/coordination/UpdateThrottle.ts
+++ b/src/coordination/UpdateThrottle.ts
@@ -1,33 +1,34 @@
 /**
- * Work that many changes in a row need only once. The first change is worked out at once, those that follow it within
- * a time together, so that news alone is late by at most that time, and a flood of it costs no more than one a time.
+ * Throttles an update that many changes in a row need only once. The first change is handled at once, changes that
+ * follow within {@link THROTTLE_MS} by one common update. So a single change is delayed by at most that time, and
+ * a burst of changes causes at most one update in each such period.
  */
 
-/** Changes that come within this time are worked out together, ms: short against the time in which news must count. */
+/** Minimum time between two updates, ms: short compared to the time in which a change must take effect. */
 const THROTTLE_MS = 50;
 
-/** Where the work stands. */
+/** State of the throttle. */
 export interface UpdateThrottle {
-  /** When changes were last worked out, ms. */
+  /** Time of the last update, ms. */
   readonly lastUpdateAt: number;
-  /** Whether there is a change that hasn't been worked out. */
+  /** Whether a change has not been handled yet. */
   readonly isPending: boolean;
 }
 
-/** Nothing has changed yet. */
+/** State before any change. */
 export const IDLE_THROTTLE: UpdateThrottle = { lastUpdateAt: -Infinity, isPending: false };
 
-/** Something has changed. */
+/** Records a change. */
 export function requestUpdate(state: UpdateThrottle): UpdateThrottle {
   return state.isPending ? state : { ...state, isPending: true };
 }
 
-/** Whether changes are to be worked out now. */
+/** Whether the pending changes should be handled now. */
 export function isUpdateDue({ lastUpdateAt, isPending }: UpdateThrottle, now: number): boolean {
   return isPending && now - lastUpdateAt >= THROTTLE_MS;
 }
 
-/** All changes so far have been worked out. */
+/** Records that all changes so far have been handled. */
 export function finishUpdate(now: number): UpdateThrottle {
   return { lastUpdateAt: now, isPending: false };
 }
