--- a/src/coordination/__tests__/unit/DemandCounts.test.ts
+++ b/src/coordination/__tests__/unit/DemandCounts.test.ts
@@ -9,7 +9,7 @@
 });
 
 describe('packIncrements', () => {
-  it('keeps what was chosen, to half a step of a byte', () => {
+  it('preserves increments to within half a unit', () => {
     fc.assert(
       fc.property(counts, counts, (before, more) => {
         const now = before.map((set, s) => set.map((count, e) => count + (more[s]?.[e] ?? 0)));
@@ -25,18 +25,18 @@
     );
   });
 
-  // An engine is born again, and its counts begin anew. Taken for choices, the difference to its earlier
-  // life would be negative demand.
-  it('says nothing of a rank that has begun anew', () => {
+  // After an engine restarts, its counts start from zero. The difference to the counts of its previous incarnation
+  // would be negative demand.
+  it('returns null without a previous reading or after a restart', () => {
     assert.equal(packIncrements(null, [[1]]), null);
     assert.equal(packIncrements([[5, 0]], [[1, 3]]), null);
   });
 });
 
-describe('countedRanks', () => {
-  // A group of 72 ranks with 1,728 experts, and its coordinator's link takes 0.7 MB/s: counts of all ranks
-  // would fill it, and the coordinator's own lease would run out behind them.
-  it('counts all ranks of a small group and a part of a large one, evenly spread', () => {
+describe('sampledRanks', () => {
+  // Counts of all ranks of a group of 72 ranks with 1,728 experts would fill the coordinator's link of 0.7 MB/s,
+  // and its lease would expire while its renewals queue behind them.
+  it('samples all ranks of a small group and an evenly spaced part of a large one', () => {
     assert.equal(sampledRanks(16, 256).size, 16);
     const large = [...sampledRanks(72, 1_728)];
     assert.equal(large.length, 18);
--- a/src/coordination/__tests__/unit/DemandEstimate.test.ts
+++ b/src/coordination/__tests__/unit/DemandEstimate.test.ts
@@ -18,7 +18,7 @@
   return counts.map((count, e) => count + (e === hot ? 4_000 : 500));
 }
 
-/** Runs intervals in which an expert is hot, on two ranks whose counts rise together. */
+/** Runs one interval for each hot expert, on two ranks whose counts rise together. */
 function runIntervals(state: DemandState, from: readonly number[], hotExperts: readonly number[]) {
   let counts = from;
   let next = state;
@@ -29,12 +29,12 @@
   return { state: next, counts };
 }
 
-/** Experts of the group whose demand is made by {@link steadyDemand}. */
+/** Number of experts in {@link steadyDemand}. */
 const STEADY_EXPERTS = 200;
 
 /**
- * Readings of a demand of which about `moves` differ from one to the next, and of which `shifted` has gone to other
- * experts.
+ * Adds readings of which a share of about `drift` changes from one to the next, and of which the share `shifted`
+ * has moved to other experts.
  */
 function steadyDemand(
   initial: DemandState,
@@ -49,7 +49,8 @@
     const counts = Array.from({ length: STEADY_EXPERTS }, (_item, e) => {
       const isHot = e < STEADY_EXPERTS / 2;
       const share = isHot ? 1 - 2 * shifted : 1 + 2 * shifted;
-      // Two numbers out of an even spread differ by a third of it, and half of all differences is what moves.
+      // Two uniformly distributed numbers differ by a third of their range on average, and the drift is half of
+      // the sum of all differences.
       return Math.round(choices * share * (1 + drift * 6 * (uniformFloat64(rng) - 0.5)));
     });
     const [last] = state.lastTotals;
@@ -63,14 +64,14 @@
 const ZERO = Array.from({ length: EXPERTS }, () => 0);
 
 describe('DemandEstimate', () => {
-  it('knows nothing before two readings', () => {
+  it('expects no load before two readings', () => {
     assert.equal(expectedLoad(initDemand(2)), null);
     assert.equal(expectedLoad(runIntervals(initDemand(2), ZERO, [1]).state), null);
   });
 
-  // Demand shifts at once. Were what came before still counted, the map would be planned for experts
-  // that nobody asks for any more, for as long as the memory lasts.
-  it('forgets what came before a shift', () => {
+  // Demand shifts abruptly. If intervals before the shift still counted, the map would be planned for experts that
+  // are no longer requested, for as long as those intervals are kept.
+  it('discards intervals before a shift', () => {
     const before = runIntervals(initDemand(2), ZERO, [1, 1, 1, 1]);
     const after = runIntervals(before.state, before.counts, [6]);
     assert.equal(after.state.shifts, 1);
@@ -79,9 +80,10 @@
     assert.ok((load[1] ?? 1) < 0.15);
   });
 
-  // Load pattern: a large group, whose demand hardly moves from one reading to the next, and then a fifth of the
-  // choices at once. Guards against: that passes for requests that come and go, and six readings go until the map follows.
-  it('tells a shift by what is usual, and forgets what came before', () => {
+  // Load pattern: a large group whose demand hardly drifts between readings, then a shift of a fifth of the
+  // choices at once. Guards against: the shift is taken for requests that start and finish, and the map follows
+  // six readings later.
+  it('detects a shift by the average drift, and discards earlier intervals', () => {
     const steady = steadyDemand(initDemand(2), 10, 0.05, 1);
     const shifted = steadyDemand(steady, 1, 0.05, 1, 0.2);
     assert.equal(steady.shifts, 0);
@@ -89,16 +91,17 @@
     assert.equal(shifted.intervals.length, 1);
   });
 
-  // Load pattern: the same shift, amid a reading. Guards against: each half of it is taken for what is usual.
-  it('tells a shift that two readings share', () => {
+  // Load pattern: the same shift in the middle of a reading. Guards against: each half of it is taken for usual
+  // drift.
+  it('detects a shift that is spread over two readings', () => {
     const steady = steadyDemand(initDemand(2), 10, 0.05, 1);
     const half = steadyDemand(steady, 1, 0.05, 1, 0.1);
     assert.equal(steadyDemand(half, 1, 0.05, 1, 0.2).shifts, 1);
   });
 
-  // Load pattern: a small group, whose requests come and go. Guards against: each that ends passes for a shift, and
-  // maps are planned from a quarter of a second.
-  it('takes for steady what moves as much as usual', () => {
+  // Load pattern: a small group whose requests start and finish. Guards against: each request that finishes is
+  // taken for a shift, and maps are planned from a quarter of a second of demand.
+  it('detects no shift in usual drift', () => {
     fc.assert(
       fc.property(fc.nat(), (seed) => {
         assert.equal(steadyDemand(initDemand(2), 30, 0.16, seed).shifts, 0);
@@ -108,9 +111,10 @@
     );
   });
 
-  // Load pattern: most ranks of a large group answer late, and a reading holds a tenth of the usual choices, which
-  // differ more. Guards against: it passes for a shift, and the next map is planned from a few ranks' requests.
-  it('takes a reading of few ranks for what it is', () => {
+  // Load pattern: most ranks of a large group answer late, so that a reading holds a tenth of the usual choices,
+  // which vary more. Guards against: it is taken for a shift, and the next map is planned from the requests of a
+  // few ranks.
+  it('detects no shift in a reading of few ranks', () => {
     fc.assert(
       fc.property(fc.nat(), (seed) => {
         const steady = steadyDemand(initDemand(2), 10, 0.05, seed);
@@ -122,13 +126,13 @@
     );
   });
 
-  it('takes steady demand for steady', () => {
+  it('detects no shift in steady demand', () => {
     assert.equal(runIntervals(initDemand(2), ZERO, [1, 1, 1, 1, 1, 1]).state.shifts, 0);
   });
 
-  // A rank restarts and counts from zero. The difference is negative, and would make its experts look
-  // as if nobody wanted them.
-  it('starts anew with a rank whose counts went back', () => {
+  // A rank restarts and counts from zero. The difference is negative, and its experts would seem to have no
+  // demand.
+  it('sets a new baseline for a rank whose counts decreased', () => {
     const before = runIntervals(initDemand(2), ZERO, [1, 1, 1]);
     const restarted = recordCounts(before.state, [
       [addInterval(before.counts, 1)],
@@ -139,15 +143,15 @@
     assert.equal(load.indexOf(Math.max(...load)), 1);
   });
 
-  it('goes on without a rank that did not answer', () => {
+  it('continues without a rank that did not answer', () => {
     const before = runIntervals(initDemand(2), ZERO, [1, 1]);
     const next = recordCounts(before.state, [[addInterval(before.counts, 1)], null]);
     assert.equal(next.intervals.length, before.state.intervals.length + 1);
   });
 
-  // A coordinator is lost with its group; its successor has seen no requests when the group opens. Without
-  // what the other expected it would leave the first map in use until counts are in, a second too late.
-  it('hands the demand on to a successor, whose own counts then outweigh it', () => {
+  // A coordinator is lost with its group, and its successor has no counts when the group opens. Without the demand
+  // that its predecessor expected it would keep the initial map in use until counts arrive, a second too late.
+  it('passes the demand on to a successor, whose own counts then outweigh it', () => {
     const before = runIntervals(initDemand(2), ZERO, [1, 1, 1, 1]);
     const packed = packDemand(expectedLoad(before.state) ?? []);
     const adopted = adoptDemand(initDemand(2), packed);
--- a/src/coordination/__tests__/unit/EngineModel.test.ts
+++ b/src/coordination/__tests__/unit/EngineModel.test.ts
@@ -21,8 +21,8 @@
 };
 
 describe('EngineModel', () => {
-  // Observed with 128 writers on 16 ranks: 48 ms by the declared costs, 130 ms at a skew of 3.7.
-  it('expects longer passes where one rank has most of the work', () => {
+  // With 128 writers on 16 ranks, a pass takes 48 ms by the declared costs, and 130 ms at a skew of 3.7.
+  it('predicts longer passes if one rank has most of the load', () => {
     assert.equal(skewCorrection(COSTS, 1), 1);
     const full = passTime(COSTS, COSTS.slots);
     assert.ok(Math.abs(full * skewCorrection(COSTS, 3.7) - 117) < 3);
--- a/src/coordination/__tests__/unit/MapDiff.test.ts
+++ b/src/coordination/__tests__/unit/MapDiff.test.ts
@@ -10,7 +10,7 @@
 });
 
 describe('diffMap', () => {
-  it('makes any map of the same shape from any other', () => {
+  it('turns any map into any other of the same shape', () => {
     fc.assert(
       fc.property(maps, maps, (before, after) => {
         assert.deepEqual(applyMapDiff(before, diffMap(before, after)), after);
@@ -19,7 +19,7 @@
     );
   });
 
-  it('holds the rows that differ and no others', () => {
+  it('contains exactly the rows that differ', () => {
     const before = [[[0], [1], [2]]];
     const after = [[[0], [1, 2], [2]]];
     assert.deepEqual(diffMap(before, after), [{ set: 0, rank: 1, experts: [1, 2] }]);
--- a/src/coordination/__tests__/unit/MapPlan.test.ts
+++ b/src/coordination/__tests__/unit/MapPlan.test.ts
@@ -17,7 +17,7 @@
 const SHAPE: MapShape = { slotsPerRank: 11, maxNewExperts: 4 };
 const POLICY: MapPolicy = { maxCopiesPerRank: 12, gainPerCopy: 0.004 };
 
-/** Experts in turn over the ranks, each once. */
+/** Experts distributed round-robin over the ranks, each once. */
 const INITIAL_MAP: GroupMap = Array.from({ length: SETS }, () =>
   Array.from({ length: RANKS }, (_rank, rank) =>
     Array.from({ length: EXPERTS / RANKS }, (_slot, i) => rank + i * RANKS),
@@ -30,14 +30,14 @@
 
 const EXPERT_LOADS = [zipf(0), zipf(11), zipf(23)];
 
-/** Copies that each rank makes between two maps, by set. */
+/** Number of experts that each rank copies between two maps, by set. */
 function copiesByRank(from: GroupMap, to: GroupMap): readonly (readonly number[])[] {
   return to.map((ranks, set) =>
     ranks.map((experts, rank) => experts.filter((e) => !from[set]?.[rank]?.includes(e)).length),
   );
 }
 
-/** Largest over mean load, averaged over sets, worked out anew. */
+/** Ratio of the largest to the mean rank load, averaged over sets, computed from scratch. */
 function skewOf(
   map: GroupMap,
   expertLoads: readonly (readonly number[])[],
@@ -56,16 +56,16 @@
 }
 
 describe('planMap', () => {
-  it('evens out a skewed demand within a few copies', () => {
+  it('balances a skewed demand with few copies', () => {
     const planned = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
     assert.ok(planned.skewBefore > 2);
     assert.ok(planned.skewAfter < 1.15, `${planned.skewAfter}`);
     assert.ok(planned.copies <= RANKS * SHAPE.maxNewExperts * SETS);
   });
 
-  // An engine refuses a map that brings a rank too many new experts, holds too many, or lacks one: the
-  // refusal at one rank would leave the rest with a version that can never be used.
-  it('always plans a map that the ranks take', () => {
+  // An engine refuses a map that adds too many experts to a rank, places too many on it, or lacks an expert. A
+  // refusal by one rank would leave the others with a version that can never be used.
+  it('always plans a map that the ranks accept', () => {
     const weight = fc.double({ min: 0, max: 1, noNaN: true });
     const weights = fc.array(fc.array(weight, { minLength: EXPERTS, maxLength: EXPERTS }), {
       minLength: SETS,
@@ -93,9 +93,9 @@
     );
   });
 
-  // Load pattern: random demand and paces, one change after another. Guards against: loads that are kept up to date
-  // change by change drift from what the ranks get, and the plan stops early or says more than it reaches.
-  it('tells the skew that its map has', () => {
+  // Load pattern: random demand and slowdowns, one change after another. Guards against: loads that are updated
+  // with each change drift from the real ones, and the plan stops early or reports a skew that it doesn't reach.
+  it('reports the skew of its map', () => {
     const weight = fc.double({ min: 0, max: 1, noNaN: true });
     const set = fc.array(weight, { minLength: EXPERTS, maxLength: EXPERTS });
     const demand = fc.array(set, { minLength: SETS, maxLength: SETS });
@@ -112,9 +112,9 @@
     );
   });
 
-  // Load pattern: random demand on ranks that have all their places in use. Guards against: a spare copy given up for
-  // another is an expert's last one, or is counted as a copy that the rank has to make though it had it before.
-  it('keeps to places and copies where no place is free', () => {
+  // Load pattern: random demand on ranks with all slots in use. Guards against: the last replica of an expert is
+  // evicted, or an expert that the rank held before counts as a copy.
+  it('keeps to the limits of slots and copies if no slot is free', () => {
     const shape: MapShape = { slotsPerRank: 9, maxNewExperts: 2 };
     const policy: MapPolicy = { maxCopiesPerRank: 4, gainPerCopy: 0.004 };
     const weight = fc.double({ min: 0, max: 1, noNaN: true });
@@ -145,7 +145,7 @@
     );
   });
 
-  it('changes nothing where nothing is gained', () => {
+  it('changes nothing without a gain', () => {
     const even = [0, 1, 2].map(() => Array.from({ length: EXPERTS }, () => 1));
     assert.equal(planMap(INITIAL_MAP, even, SHAPE, POLICY).copies, 0);
     assert.equal(
@@ -164,21 +164,21 @@
   });
 });
 
-/** A group that has had a planned map for long. */
+/** Conditions of a group that has used a planned map for a long time. */
 function settledGroup(passMs: number | null): PlanConditions {
   return { passMs, pauseMs: 120, usesInitialMap: false, formedMsAgo: Infinity };
 }
 
-describe('gainWanted', () => {
-  // Traffic begins on a group with its first map. Its passes are still short, and half of a second later most
-  // answers are late by their pauses; a map that is planned only then is in use another second later.
-  it('waits for no long passes while the group uses its first map, or has just formed', () => {
+describe('requiredGain', () => {
+  // Traffic begins on a group with its initial map. Its passes are still short, but half a second later the pauses
+  // make most answers late; a map that is planned only then is in use another second later.
+  it('ignores the pass time while the group uses its initial map, or has just re-formed', () => {
     assert.equal(requiredGain({ ...settledGroup(30), usesInitialMap: true }, 0.004), 0.004);
     assert.equal(requiredGain({ ...settledGroup(null), formedMsAgo: 900 }, 0.004), 0.004);
     assert.equal(requiredGain({ ...settledGroup(30), formedMsAgo: 1_600 }, 0.004), null);
   });
 
-  it('asks for more the easier the passes are, and for nothing where they are short', () => {
+  it('requires more gain for shorter passes, and plans nothing if they are short enough', () => {
     assert.equal(requiredGain(settledGroup(50), 0.004), null);
     assert.equal(requiredGain(settledGroup(null), 0.004), null);
     assert.equal(requiredGain(settledGroup(110), 0.004), 0.004);
@@ -187,8 +187,8 @@
     assert.ok(easy > nearLimit && nearLimit > 0.004);
   });
 
-  // A rank turns slow, and all ranks of its group wait for it in every pass. With an even share of the load
-  // it would make each pass as much longer as it is slower; the others have room for a part of it.
+  // All ranks of a group wait for a slow rank in every pass. With an even share of the load it would lengthen each
+  // pass by its slowdown; the other ranks have room for a part of its load.
   it('gives a slow rank less of the load', () => {
     const even = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
     const slowdowns = INITIAL_MAP[0]?.map((_experts, rank) => (rank === 0 ? 2 : 1)) ?? [];
@@ -204,9 +204,9 @@
     assert.ok(planned.skewAfter < unchanged.skewBefore - 0.2);
   });
 
-  // Load pattern: one rank of a group works twelve times slower. Guards against: with a third of an even share it
+  // Load pattern: one rank of a group is twelve times slower. Guards against: with a third of an even share it
   // makes the experts' part of each pass four times as long.
-  it('leaves next to nothing to a rank that is twelve times slower', () => {
+  it('gives almost no load to a rank that is twelve times slower', () => {
     const even = planMap(INITIAL_MAP, EXPERT_LOADS, SHAPE, POLICY);
     const slowdowns = INITIAL_MAP[0]?.map((_experts, rank) => (rank === 0 ? 12 : 1)) ?? [];
     const planned = planMap(even.map, EXPERT_LOADS, SHAPE, POLICY, slowdowns);
@@ -220,8 +220,8 @@
     assert.ok(Math.max(...shares) < 0.15, shares.join(', '));
   });
 
-  // Guards against: a rank goes on with an expert that others hold as well, until there is time for copies.
-  it('takes from a slow rank at once what others hold too', () => {
+  // Guards against: a slow rank keeps an expert that other ranks hold as well, until there is time for copies.
+  it('removes replicated experts from a slow rank without copies', () => {
     const inUse: GroupMap = [[[0, 1], [0, 2], [3]]];
     const noCopies: MapPolicy = { maxCopiesPerRank: 0, gainPerCopy: 0.004 };
     const planned = planMap(
@@ -238,14 +238,14 @@
 describe('isPlanDue', () => {
   const settledPlan = { plannedMsAgo: 200, formedMsAgo: Infinity, shiftsAtPlan: 2, shifts: 2 };
 
-  // Load pattern: demand shifts while a change of map is under way. Guards against: the counts that show it lie unused
-  // until the next ones are in.
-  it('plans from a shift that was seen during a change as soon as that is over', () => {
+  // Load pattern: demand shifts during a map change. Guards against: the counts that show the shift aren't used
+  // until the next ones arrive.
+  it('plans for a shift that was detected during a change as soon as the change ends', () => {
     assert.equal(isPlanDue({ ...settledPlan, shifts: 3 }), true);
     assert.equal(isPlanDue(settledPlan), false);
   });
 
-  it('plans for a group that has formed anew since the last plan', () => {
+  it('plans for a group that has re-formed since the last plan', () => {
     assert.equal(isPlanDue({ ...settledPlan, formedMsAgo: 100 }), true);
     assert.equal(isPlanDue({ ...settledPlan, formedMsAgo: 300 }), false);
     assert.equal(isPlanDue({ ...settledPlan, plannedMsAgo: Infinity, formedMsAgo: 100 }), true);
--- a/src/coordination/__tests__/unit/MapStages.test.ts
+++ b/src/coordination/__tests__/unit/MapStages.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe('MapStages', () => {
-  it('tells how long each stage of a change took', () => {
+  it('measures how long each stage of a change took', () => {
     const stages = new MapStages();
     stages.onCounts(1.1, 30, 1_000);
     stages.onCounts(1.9, 40, 1_250);
@@ -29,8 +29,8 @@
     });
   });
 
-  // Guards against: a map that became even by itself, or by a change, counts as behind ever since.
-  it('begins anew where the map suits the demand again', () => {
+  // Guards against: a map that has become balanced, through demand or a change, still counts as behind.
+  it('restarts the wait once the map suits the demand again', () => {
     const stages = new MapStages();
     stages.onCounts(1.9, 40, 1_000);
     stages.onCounts(1.2, 40, 1_250);
@@ -42,8 +42,9 @@
     assert.equal(stages.finish(2_345).waitMs, 0);
   });
 
-  // A pass that begins while the hold is still on its way: another is chosen, and the hold counts from the first.
-  it('counts a stage that has to be gone through again from its first begin', () => {
+  // If the chosen pass begins before the hold is carried out, another one is chosen, and the hold counts from the
+  // first.
+  it('counts a repeated stage from its first start', () => {
     const stages = new MapStages();
     stages.onCounts(1.9, 40, 1_000);
     stages.onPlan(5, 1_005);
--- a/src/coordination/__tests__/unit/MapSwitch.test.ts
+++ b/src/coordination/__tests__/unit/MapSwitch.test.ts
@@ -14,7 +14,7 @@
 
 const REPORT: RankReport = { ...IDLE_REPORT, step: 17, active: 4 };
 
-/** A coordinator on rank 0 that is given inputs, and keeps what it puts out. */
+/** A coordinator on rank 0 that keeps the outputs of its latest input. */
 class Coordinator {
   state: MapSwitchState = initMapSwitch(RANKS, 0);
 
@@ -29,7 +29,7 @@
     this.outputs = outputs;
   }
 
-  /** Hears all ranks; what each reports is the usual with some changes. */
+  /** Reports all ranks, each with its changes to the usual report. */
   reportAll(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
     const outputs = Array.from({ length: RANKS }, (_item, rank) => {
       this.input({ type: 'report', rank, report: { ...REPORT, rank, ...changes[rank] } });
@@ -38,7 +38,7 @@
     return outputs.flat();
   }
 
-  /** Gains its first lease and hears all ranks. */
+  /** Gains the first lease and receives reports of all ranks. */
   gainLease(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
     this.input({ type: 'gained', token: 1 });
     this.input({ type: 'mapInUse', map: [[[0], [1], [2]]] });
@@ -55,19 +55,19 @@
 const ARMED = { prepared: 7, armed: { version: 7, step: 20 } };
 
 describe('a coordinator that takes over', () => {
-  // Its predecessor died when all ranks were armed alike and the group was held. Streams stand still
-  // until somebody lets the group go; the change is as good as done, so that is all that is lacking.
-  it('finishes what all ranks are armed for alike', () => {
+  // The predecessor crashed when all ranks were armed alike and the group was held. Streams are blocked until the
+  // group is released, which is all that the change still needs.
+  it('finishes a change that all ranks are armed for', () => {
     const coordinator = new Coordinator();
     const outputs = coordinator.gainLease({ ...ARMED, heldStep: 20 }, ARMED, ARMED);
     assert.equal(coordinator.state.phase, 'releasing');
     assert.deepEqual(ordersOf(outputs), ['0 release']);
   });
 
-  // Its predecessor died when one rank was armed and the hold had not been carried out. The pass of the
-  // switch is three passes away: were the rank only told to disarm, and that order lost, the group would
-  // begin the pass with two maps. It must be held first.
-  it('holds the group before it undoes what one rank is armed for', () => {
+  // The predecessor crashed when one rank was armed and the hold had not been carried out. The pass of the switch
+  // is three passes away: if the rank were only ordered to disarm and that order got lost, the group would begin
+  // the pass with two maps. It must be held first.
+  it('holds the group before it disarms a rank', () => {
     const coordinator = new Coordinator();
     const outputs = coordinator.gainLease({}, ARMED, {});
     assert.equal(coordinator.state.phase, 'voiding');
@@ -78,10 +78,10 @@
   });
 });
 
-describe('a coordinator that tries again', () => {
-  // A try at pass 20 came to nothing, and its release may still be carried out late. Were the next try to
-  // use that pass again, the late order would let the group go while only some ranks are armed.
-  it('uses each pass once', () => {
+describe('a coordinator that makes another attempt', () => {
+  // An attempt at pass 20 failed, and its release may still be carried out late. If the next attempt used that
+  // pass again, the late order would release the group while only some ranks are armed.
+  it('uses each pass only once', () => {
     const coordinator = new Coordinator();
     coordinator.gainLease({ heldStep: 20 }, ARMED, {});
     const { version } = coordinator.state;
--- a/src/coordination/__tests__/unit/Placement.test.ts
+++ b/src/coordination/__tests__/unit/Placement.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('decidePlacement', () => {
-  it('lowers the skew of a skewed load', () => {
+  it('reduces the skew of a skewed load', () => {
     const { skewBefore, skewAfter, reason } = decidePlacement(
       MAP,
       estimateFrom(zipf(0), 8),
@@ -50,8 +50,8 @@
     assert.ok(skewBefore > 2 && skewAfter < 1.25, `${skewBefore} -> ${skewAfter}`);
   });
 
-  // The manifest weighs the cost of moving more: fewer experts are copied, at more skew.
-  it('moves fewer experts the less the skew weighs', () => {
+  // The manifest gives the cost of moving more weight: fewer experts are copied, and more skew remains.
+  it('moves fewer experts the lower the skew weight is', () => {
     const estimate = estimateFrom(zipf(0), 8);
     const skewed = decidePlacement(MAP, estimate, policy(0.9));
     const costly = decidePlacement(MAP, estimate, policy(0.02));
@@ -63,7 +63,7 @@
     assert.ok(decidePlacement(MAP, estimateFrom(zipf(0), 8), policy(0.9, 3)).moves.length <= 3);
   });
 
-  it('gives a slow rank less', () => {
+  it('gives a slow rank less load', () => {
     const speeds = Array.from({ length: RANKS }, (_rank, i) => (i === 0 ? 0.5 : 1));
     const estimate = estimateFrom(zipf(0), 8);
     const { map } = decidePlacement(MAP, estimate, { ...policy(0.9), speeds });
@@ -71,9 +71,9 @@
     assert.ok(skewOf(loads) < skewOf(rankLoads(MAP, estimate.mean, speeds)));
   });
 
-  // A step must find every expert somewhere, never twice on one rank, and every rank must have as
-  // many slots as before: else the group can't answer, or runs out of memory.
-  it('keeps every expert placed and every rank at its slots', () => {
+  // Every expert must be placed, never twice on one rank, and every rank must keep its number of slots: otherwise
+  // the group can't answer, or runs out of memory.
+  it('keeps every expert placed and the number of slots of every rank', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(1_000), { minLength: EXPERTS, maxLength: EXPERTS }), (load) => {
         const { map } = decidePlacement(MAP, estimateFrom(load, 3), policy(0.9));
