--- a/src/coordination/DemandCounts.ts
+++ b/src/coordination/DemandCounts.ts
@@ -23,8 +23,8 @@
 const MAX_ROUND_BYTES = 32_000;
 
 /**
- * Packs the choices between two readings; null without an earlier reading, or if a count decreased because the
- * rank restarted.
+ * Packs the choices between two readings; null without an earlier reading, or if a count decreased, as after a
+ * restart of the rank.
  */
 export function packIncrements(
   previous: ExpertCounts | null,
--- a/src/coordination/EngineModel.ts
+++ b/src/coordination/EngineModel.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * Ratio of the expected to the declared time of a pass if the most loaded rank has `skew` times the mean load of
- * experts: all ranks wait for it, set by set. Computed for ranks with all slots in use, where it matters.
+ * Ratio of the expected to the declared time of a pass if the most loaded rank has `skew` times the mean expert
+ * load: all ranks wait for it, set by set. Computed for ranks with all slots in use, where it matters.
  */
 export function skewCorrection(costs: EngineCosts, skew: number): number {
   const writersMs = writerStepMs(costs) * costs.slots;
--- a/src/coordination/MapPlan.ts
+++ b/src/coordination/MapPlan.ts
@@ -1,5 +1,5 @@
 /**
- * Plans a group's next expert map: a few changes to the map in use, which place the hottest experts on more ranks
+ * Plans a group's next expert map: a few changes to the map in use that place experts on more ranks, the hottest
  * first. Set by set, a pass takes as long as its most loaded rank, so the plan reduces the sum over sets of the
  * largest load.
  */
@@ -48,7 +48,7 @@
   );
 }
 
-/** Changes the set with the largest skew, again and again, until no further change is worth its copies. */
+/** Repeatedly changes the set with the largest skew, until no further change is worth its copies. */
 function balanceSets(
   sets: readonly MapPlanSet[],
   search: MapPlanSearch,
--- a/src/coordination/MapPlanSet.ts
+++ b/src/coordination/MapPlanSet.ts
@@ -16,7 +16,7 @@
   /** Rank that gets the expert; {@link NONE} if its other holders are enough. */
   readonly to: number;
   readonly evicted: number;
-  /** Rank that gives up the expert and gets `evicted` in exchange; {@link NONE} to keep both replicas. */
+  /** Rank that gives up the expert and gets `evicted` in exchange; {@link NONE} if all holders keep it. */
   readonly from: number;
 }
 
@@ -53,7 +53,10 @@
 
   readonly ranksByExpert: readonly number[][];
 
-  /** Number of experts added to each rank that it must copy; an expert that is removed again still counts. */
+  /**
+   * Number of experts that each rank must copy for the changes so far; an expert that is removed again still
+   * counts.
+   */
   readonly copiesByRank: Uint16Array;
 
   /** Experts of each rank in the map in use: adding one of these back needs no copy. */
@@ -93,7 +96,7 @@
     this.#skew = mean === 0 ? 1 : largest(this.rankLoads);
   }
 
-  /** Ratio of the largest to the mean rank load. */
+  /** Ratio of the largest rank load to the mean without slowdowns. */
   get skew(): number {
     return this.#skew;
   }
--- a/src/coordination/MapPlanTrigger.ts
+++ b/src/coordination/MapPlanTrigger.ts
@@ -1,6 +1,6 @@
 /**
- * When a new map is planned, and the gain that a copied expert must bring, depending on how close the group's pass
- * time is to the longest pause.
+ * Decides when a new map is planned, and how much a copied expert must gain, depending on how close the group's
+ * pass time is to the longest pause.
  */
 
 /** Pass time, as a share of the longest pause, from which it is worth reducing. */
@@ -32,8 +32,9 @@
  * enough. Answers are late only if the pass time comes close to the longest pause, so the closer it is, the less a
  * copy must gain.
  *
- * The pass time of a group with its initial map is ignored: that map takes no account of demand, and new traffic
- * makes passes long before a map that is planned then is in use.
+ * The pass time is ignored while the group uses its initial map or has just re-formed. The initial map takes no
+ * account of demand, and if planning waited for long passes, new traffic would suffer from them before the planned
+ * map is in use.
  */
 export function requiredGain(conditions: PlanConditions, minGain: number): number | null {
   const { passMs, pauseMs, usesInitialMap, formedMsAgo } = conditions;
--- a/src/coordination/MapStages.ts
+++ b/src/coordination/MapStages.ts
@@ -1,4 +1,7 @@
-/** Time from a demand that the map in use doesn't suit to a map that does, by stage. */
+/**
+ * Measures the stages from the first counts that show the map in use to be behind the demand until a new map is in
+ * use.
+ */
 import type { MapSwitchPhase } from './MapSwitchTypes.js';
 
 /** A map is behind the demand if its most loaded rank has this many times the mean load. */
--- a/src/coordination/MapSwitch.ts
+++ b/src/coordination/MapSwitch.ts
@@ -110,7 +110,10 @@
   return enterPhase(state, 'idle');
 }
 
-/** Time to wait for an order's effect, ms; an order with a whole map takes longer to arrive than the others. */
+/**
+ * Time to wait for an order's effect, ms; it is longer while a change is prepared, for an order with the whole
+ * map.
+ */
 function resendDelay({ phase }: MapSwitchState, order: EngineOrder): number {
   return phase === 'preparing' && order.kind === 'prepare' ? RESEND_MAP_MS : RESEND_MS;
 }
--- a/src/coordination/PassMonitor.ts
+++ b/src/coordination/PassMonitor.ts
@@ -72,7 +72,7 @@
     : { ...observed, passMs: Math.max(state.passMs ?? 0, elapsedMs) };
 }
 
-/** Restarts the measurement after the group has re-formed, which counts its passes from the start again. */
+/** Restarts the measurement after the group has re-formed, since its passes are then counted from the start. */
 export function resetMeasurement(state: PassMonitor): PassMonitor {
   return { ...state, measuredFrom: null, passMs: null };
 }
--- a/src/coordination/Placement.ts
+++ b/src/coordination/Placement.ts
@@ -151,7 +151,10 @@
   return { slots, holders, loads };
 }
 
-/** Moves that replace an expert with other replicas on the cold rank by one of the hot rank, or swap the two. */
+/**
+ * Options to place an expert of the hot rank on the cold rank: it replaces an expert there that has other
+ * replicas, or the two are swapped.
+ */
 function candidateMoves(
   { slots, holders }: WorkingMap,
   hot: number,
--- a/src/coordination/__tests__/unit/MapStages.test.ts
+++ b/src/coordination/__tests__/unit/MapStages.test.ts
@@ -42,8 +42,8 @@
     assert.equal(stages.finish(2_345).waitMs, 0);
   });
 
-  // If the chosen pass begins before the hold is carried out, another one is chosen, and the hold counts from the
-  // first.
+  // If the chosen pass begins before the hold is carried out, another pass is chosen; the stage counts from the
+  // first choice.
   it('counts a repeated stage from its first start', () => {
     const stages = new MapStages();
     stages.onCounts(1.9, 40, 1_000);
--- a/src/coordination/__tests__/unit/MapSwitch.test.ts
+++ b/src/coordination/__tests__/unit/MapSwitch.test.ts
@@ -29,7 +29,7 @@
     this.outputs = outputs;
   }
 
-  /** Reports all ranks, each with its changes to the usual report. */
+  /** Feeds in a report of each rank: the usual report with the given changes. */
   reportAll(...changes: readonly Partial<RankReport>[]): readonly MapSwitchOutput[] {
     const outputs = Array.from({ length: RANKS }, (_item, rank) => {
       this.input({ type: 'report', rank, report: { ...REPORT, rank, ...changes[rank] } });
@@ -79,7 +79,7 @@
 });
 
 describe('a coordinator that makes another attempt', () => {
-  // An attempt at pass 20 failed, and its release may still be carried out late. If the next attempt used that
+  // An attempt at pass 20 was voided, and its release may still be carried out late. If the next attempt used that
   // pass again, the late order would release the group while only some ranks are armed.
   it('uses each pass only once', () => {
     const coordinator = new Coordinator();
