--- a/src/coordination/DemandEstimate.ts
+++ b/src/coordination/DemandEstimate.ts
@@ -185,8 +185,8 @@
 const MAX_PACKED_SHARE = 255;
 
 /** Packs expected shares, with a resolution of 1/255 of the hottest expert's share. */
-export function packDemand(weights: readonly (readonly number[])[]): PackedDemand {
-  return weights.map((set) => {
+export function packDemand(shares: readonly (readonly number[])[]): PackedDemand {
+  return shares.map((set) => {
     const largest = Math.max(...set, Number.MIN_VALUE);
     return Uint8Array.from(set, (weight) => Math.round((weight / largest) * MAX_PACKED_SHARE));
   });
--- a/src/coordination/MapPlanSearch.ts
+++ b/src/coordination/MapPlanSearch.ts
@@ -85,7 +85,7 @@
   find(set: MapPlanSet): MapPlanChange | null {
     const { rankLoads, peakTerms } = set;
     this.#best = null;
-    this.#termSum = peakTerms.reduce((sum, part) => sum + part, 0);
+    this.#termSum = peakTerms.reduce((sum, term) => sum + term, 0);
     this.#peak = (this.#termSum / rankLoads.length) ** (1 / PEAK_ORDER);
     this.#requireGain(this.#limits.gainPerCopy);
     const hot = hottestRank(rankLoads);
--- a/src/coordination/MapPlanSet.ts
+++ b/src/coordination/MapPlanSet.ts
@@ -80,11 +80,14 @@
     this.slowdowns = new Float64Array(
       currentMap.map((_held, rank) => slowdownOf(rankSlowdowns, rank)),
     );
-    const held = this.ranksByExpert.map((ranks, e) =>
+    const heldLoads = this.ranksByExpert.map((ranks, e) =>
       ranks.length > 0 ? (expectedLoads[e] ?? 0) : 0,
     );
-    const mean = held.reduce((sum, weight) => sum + weight, 0) / Math.max(1, currentMap.length);
-    this.expertLoads = new Float64Array(held.map((weight) => (mean === 0 ? 0 : weight / mean)));
+    const mean =
+      heldLoads.reduce((sum, weight) => sum + weight, 0) / Math.max(1, currentMap.length);
+    this.expertLoads = new Float64Array(
+      heldLoads.map((weight) => (mean === 0 ? 0 : weight / mean)),
+    );
     this.rankLoads = new Float64Array(
       this.expertsByRank.map(
         (row, rank) =>
--- a/src/coordination/__tests__/unit/MapPlan.test.ts
+++ b/src/coordination/__tests__/unit/MapPlan.test.ts
@@ -182,9 +182,9 @@
     assert.equal(requiredGain(settledGroup(50), 0.004), null);
     assert.equal(requiredGain(settledGroup(null), 0.004), null);
     assert.equal(requiredGain(settledGroup(110), 0.004), 0.004);
-    const easy = requiredGain(settledGroup(65), 0.004) ?? 0;
+    const farFromLimit = requiredGain(settledGroup(65), 0.004) ?? 0;
     const nearLimit = requiredGain(settledGroup(85), 0.004) ?? 0;
-    assert.ok(easy > nearLimit && nearLimit > 0.004);
+    assert.ok(farFromLimit > nearLimit && nearLimit > 0.004);
   });
 
   // All ranks of a group wait for a slow rank in every pass. With an even share of the load it would lengthen each
--- a/src/coordination/__tests__/unit/PassMonitor.test.ts
+++ b/src/coordination/__tests__/unit/PassMonitor.test.ts
@@ -13,8 +13,8 @@
 const REPORT: RankReport = { ...IDLE_REPORT, active: 4 };
 
 /** State after reports of (time, pass) in order. */
-function observeAll(...seen: readonly (readonly [number, number])[]): PassMonitor {
-  return seen.reduce(
+function observeAll(...reports: readonly (readonly [number, number])[]): PassMonitor {
+  return reports.reduce(
     (state, [at, step]) => observeReport(state, { ...REPORT, step }, at),
     INITIAL_PASS_MONITOR,
   );
