--- a/src/coordination/__tests__/unit/DirectAttempts.test.ts
+++ b/src/coordination/__tests__/unit/DirectAttempts.test.ts
@@ -81,13 +81,13 @@
   // it too, so it waits for the group and spends no retry until it is sent again.
   it('makes a request that was not run wait while all groups are closed', () => {
     const noRetry = (): boolean => assert.fail('a retry was taken from the budget');
-    const closed = { ...FIRST, isClosed: true };
+    const closed = { ...FIRST, isServiceDown: true };
     assert.equal(judgeFailure('notRun', closed, 0, noRetry), 'wait');
     assert.equal(judge('notRun', { isServiceDown: true, sendCount: 2 }), 'refuse');
     assert.equal(judge('lost', { isServiceDown: true, mayHaveRun: true }), 'fail');
     assert.equal(judge('notRun', { isServiceDown: true, mayHaveRun: true, sendCount: 2 }), 'fail');
     assert.equal(judge('broken', { isServiceDown: true, responseStarted: true }), 'cut');
-    const repeatable = { isClosed: true, mayHaveRun: true, repeatable: true };
+    const repeatable = { isServiceDown: true, mayHaveRun: true, repeatable: true };
     assert.equal(judge('lost', repeatable), 'wait');
     assert.equal(judge('lost', { ...repeatable, sendCount: 2 }), 'fail');
     assert.equal(judge('failed', repeatable), 'retry');
--- a/src/coordination/__tests__/unit/StreamQueue.test.ts
+++ b/src/coordination/__tests__/unit/StreamQueue.test.ts
@@ -77,7 +77,7 @@
   // enough time for the longest answer that they allow.
   it('keeps retries queued while the group is down, and admits them when it opens', () => {
     const closed: QueueForecast = { ...BUSY, ratePerMs: 0, isRecovering: true };
-    const back = { returned: true, patientUntil: 2_000, deadline: 4_000 };
+    const back = { isCallerRetry: true, firstEventDeadline: 2_000, deadline: 4_000 };
     const queue = enqueueAll([request(1, { ...back, tokens: 350, likelyTokens: 60 })], closed);
     const waiting = admitWaiting(queue, closed, 1_500, 0.5);
     assert.deepEqual(waiting.refused, []);
