--- a/src/coordination/ConfigFreshness.ts
+++ b/src/coordination/ConfigFreshness.ts
@@ -1,12 +1,12 @@
 /**
- * A lease on "the configuration held here is the newest". An entry process serves requests with a key
- * only under it.
+ * A lease on "the configuration held here is the newest". An entry process serves requests with a key only
+ * while it holds the lease. Otherwise a key that is revoked while the entry process is partitioned or frozen
+ * would go on working there.
  *
- * Failure: an entry process is cut off or frozen while a customer's key is withdrawn. Symptom: the key
- * goes on working there. Enough: the lease counts from the moment at which the question was sent that
- * a leader with a fresh quorum answered, is looked at for each request, and is given up where the two
- * clocks of the host disagree on how long that is ago: the steady clock stands still while a host is
- * suspended, the time of day may be set, and neither tells which of the two has happened.
+ * The lease counts from when the request was sent that a leader with a fresh quorum answered, and is checked
+ * for each request. It is given up when the two clocks of the host disagree on how long ago that was: the
+ * monotonic clock stops while a host is suspended, the time of day may be set, and neither shows which of the
+ * two has happened.
  */
 
 /** Both clocks of a host, read together; ms. */
@@ -16,30 +16,33 @@
   readonly wall: number;
 }
 
-/** What an entry process knows of its configuration's age. */
+/** How recent the configuration of an entry process is known to be. */
 export interface FreshnessState {
   /** Log index of the configuration held; 0 for none. */
   readonly heldConfigIndex: number;
-  /** When the newest question was sent whose answer the configuration held satisfies, ms. */
+  /** Send time of the newest request whose reply the configuration held satisfies, ms. */
   readonly provenAt: ClockReading | null;
-  /** An answer that names a configuration still on its way here. */
+  /** A reply that names a configuration which has not arrived yet, and the send time of its request. */
   readonly pending: { readonly index: number; readonly requestedAt: ClockReading } | null;
 }
 
-/** Nothing known. */
+/** Initial state: no configuration held, nothing proven. */
 export const UNPROVEN: FreshnessState = { heldConfigIndex: 0, provenAt: null, pending: null };
 
-/** Part of the time allowed for a withdrawal that a lease lasts; the rest covers clock rates. */
+/**
+ * Duration of a lease as a fraction of the time allowed for revoking a key; the rest covers differing clock
+ * rates.
+ */
 export const FRESHNESS_LEASE_FRACTION = 0.92;
 
-/** Clocks that differ by more have been set or stood still; adjustment is far slower. In ms. */
+/** Clocks that differ by more have been set or have stopped; clock adjustment is far slower. In ms. */
 const MAX_CLOCK_DIVERGENCE_MS = 250;
 
 function newerOf(a: ClockReading | null, b: ClockReading): ClockReading {
   return a !== null && a.monotonic > b.monotonic ? a : b;
 }
 
-/** Takes a configuration in. */
+/** Records that a configuration has arrived. */
 export function receiveConfig(state: FreshnessState, index: number): FreshnessState {
   const { pending } = state;
   if (pending === null || index < pending.index) {
@@ -52,7 +55,10 @@
   };
 }
 
-/** Takes the answer to a question that was sent at `askedAt`. */
+/**
+ * Records a leader's reply to a request that was sent at `requestedAt`; `newest` is the newest log index, 0
+ * for none.
+ */
 export function receiveNewestIndex(
   state: FreshnessState,
   newest: number,
@@ -68,18 +74,18 @@
 }
 
 /**
- * Tells whether the configuration held was the newest at some time in this life of the process.
+ * Whether the configuration held was the newest at some time since this process started.
  *
- * Failure: hosts return after an outage to control processes of which too few are left to know what was
- * accepted last. Symptom: requests that need no key are handled by a configuration older than one that was
- * acknowledged. Enough: before its first proof a process handles nothing; after it, its configuration
- * never goes back.
+ * After an outage, hosts may return to control processes of which too few are left to know what was accepted
+ * last. Requests that need no key would then be handled by a configuration older than one that was
+ * acknowledged. A process therefore handles nothing before the first proof; after it, its configuration never
+ * goes back.
  */
 export function isProven({ provenAt }: FreshnessState): boolean {
   return provenAt !== null;
 }
 
-/** Tells whether the lease holds now. */
+/** Whether the lease is valid now. */
 export function isFresh(state: FreshnessState, now: ClockReading, leaseMs: number): boolean {
   const { provenAt } = state;
   if (provenAt === null) {
--- a/src/coordination/Consensus.ts
+++ b/src/coordination/Consensus.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated log among the control processes, as a pure state machine. Safety rests on terms,
- * quorums and synced state alone; clocks only decide when to try.
+ * Raft state machine of the log that the control processes replicate, as pure functions. Safety depends only
+ * on terms, quorums and synced state; clocks only decide when to attempt something.
  */
 import {
   becomeFollower,
@@ -36,14 +36,14 @@
 
 type MessageOf<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
 
-/** What a replica finds on its disk, or was founded with. */
+/** Persisted state of a replica, or its initial state on the first start of a cluster. */
 export interface ConsensusRecovery {
   readonly hard: ConsensusHardState;
   readonly snapshot: ConsensusSnapshot;
   readonly log: readonly ConsensusEntry[];
 }
 
-/** State of a replica after a start. Nothing counts as committed beyond its snapshot. */
+/** State of a replica after a start. Entries after the snapshot do not count as committed yet. */
 export function initConsensus(
   id: string,
   recovery: ConsensusRecovery,
@@ -84,7 +84,7 @@
   };
 }
 
-/** Hears a leader of the current term. */
+/** Records contact with the leader of the current term, and becomes its follower if it is none. */
 function followLeader(state: ConsensusState, from: string, ctx: ConsensusContext): ConsensusStep {
   const step: ConsensusStep =
     state.role === 'follower'
@@ -96,7 +96,10 @@
   };
 }
 
-/** Keeps what is already there: a late, shorter append must not cut what was acknowledged. */
+/**
+ * Replaces the log from the first entry that differs. A delayed, shorter append must not truncate entries
+ * that were already acknowledged.
+ */
 function mergeEntries(state: ConsensusState, entries: readonly ConsensusEntry[]): ConsensusStep {
   const first = entries.findIndex(
     (entry) => entry.index > state.snapshot.index && termAt(state, entry.index) !== entry.term,
@@ -176,7 +179,10 @@
   install: onInstall,
 };
 
-/** Pre-votes name a term that nobody is in yet; they must not raise ours. */
+/**
+ * Whether a message moves this replica to a newer term. Pre-vote messages must not: they carry a term that no
+ * replica has entered yet.
+ */
 function hasNewerTerm(state: ConsensusState, message: ConsensusMessage): boolean {
   return message.term > state.term && message.type !== 'preVote' && message.type !== 'preVoteReply';
 }
@@ -216,7 +222,7 @@
   };
 }
 
-/** One voter at a time, so that every old and every new quorum share a replica. */
+/** A change adds or removes at most one voter, so that every old quorum overlaps every new one. */
 function isSafeChange(from: ConsensusMembers, to: ConsensusMembers): boolean {
   const added = to.voters.filter((id) => !from.voters.includes(id));
   const removed = from.voters.filter((id) => !to.voters.includes(id));
@@ -232,7 +238,7 @@
   input: Extract<ConsensusInput, { type: 'members' }>,
   ctx: ConsensusContext,
 ): ConsensusStep {
-  // Before it has committed in its own term a leader may not know the newest members.
+  // A leader that has committed nothing in its own term may not know the newest members yet.
   const ready = state.role === 'leader' && termAt(state, state.commit) === state.term;
   if (!ready || hasUncommittedChange(state) || !isSafeChange(state.members, input.members)) {
     return refuse(state, input.id);
@@ -289,7 +295,7 @@
   compact: (state, input) => onCompact(state, input),
 };
 
-/** One step of a replica. */
+/** Applies one input to the state of a replica. */
 export function stepConsensus(
   state: ConsensusState,
   input: ConsensusInput,
--- a/src/coordination/ConsensusConstants.ts
+++ b/src/coordination/ConsensusConstants.ts
@@ -1,17 +1,23 @@
-/** Timing of the replicated log, for AZs about 1.5 ms apart and regions up to some 100 ms. */
+/**
+ * Timing and batch size of the replicated log, for availability zones about 1.5 ms and regions up to about
+ * 100 ms apart.
+ */
 
-/** A follower that hears nothing for this long, plus up to as much again, campaigns. In ms. */
+/**
+ * A follower starts an election after this long without contact from a leader, plus a random delay of up to
+ * as much again. In ms.
+ */
 export const ELECTION_TIMEOUT_MS = 800;
 
 /**
- * A replica that has just started, or got no answer to its pre-votes, asks for them after this long, plus up to as
- * much again. A pre-vote deposes nobody, so that asking often is safe; more than a heartbeat's time lets a leader be
- * heard first. In ms.
+ * Delay before a replica asks for pre-votes after its start, or asks again without a reply, plus a random
+ * delay of up to as much again. Asking often is safe, since a pre-vote deposes no leader; the delay is longer
+ * than the heartbeat interval so that an existing leader is heard first. In ms.
  */
 export const PRE_VOTE_INTERVAL_MS = 200;
 
-/** A leader sends at least this often. In ms. */
+/** Interval of a leader's heartbeats, in ms. */
 export const HEARTBEAT_MS = 150;
 
-/** Entries in one message at most, so that one that lags can't hold up the rest. */
+/** Maximum entries in one append message, so that a lagging replica can't delay the others. */
 export const MAX_APPEND_ENTRIES = 128;
--- a/src/coordination/ConsensusElection.ts
+++ b/src/coordination/ConsensusElection.ts
@@ -20,7 +20,7 @@
 
 type MessageOf<T extends ConsensusMessage['type']> = Extract<ConsensusMessage, { type: T }>;
 
-/** Goes to a term as a follower. Forgets the vote only if the term is new. */
+/** Becomes a follower in a term. The vote is cleared only if the term is new. */
 export function becomeFollower(
   state: ConsensusState,
   term: number,
@@ -78,11 +78,9 @@
 }
 
 /**
- * Asks whether an election could be won, before the term is raised.
- *
- * Failure: a replica that was cut off returns with a high term. Symptom: a healthy leader is
- * deposed at each return. Enough: nobody grants a pre-vote while it still hears a leader, and a
- * pre-vote changes no term.
+ * Asks for pre-votes before the term is raised. Otherwise a replica that returns from a network partition
+ * with a high term would depose a healthy leader each time. No replica grants a pre-vote while it has contact
+ * with a leader, and a pre-vote changes no term.
  */
 export function startElection(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   if (!state.members.voters.includes(state.id)) {
@@ -103,7 +101,7 @@
   return message.lastTerm !== lastTerm ? message.lastTerm > lastTerm : message.lastIndex >= last;
 }
 
-/** Answers a pre-vote; changes nothing. */
+/** Replies to a pre-vote request; the state does not change. */
 export function onPreVote(
   state: ConsensusState,
   from: string,
@@ -114,7 +112,8 @@
     state.role === 'leader' ||
     (state.leader !== null && ctx.now - state.heardAt < ELECTION_TIMEOUT_MS);
   const granted = message.term > state.term && !hearsLeader && isUpToDate(state, message);
-  // A refusal carries our term, so that a replica behind in terms catches up and can be elected.
+  // A refusal carries this replica's term, so that a replica in an older term catches up and can be
+  // elected.
   const term = granted ? message.term : state.term;
   return {
     state,
@@ -122,7 +121,10 @@
   };
 }
 
-/** Counts a pre-vote; with a quorum, campaigns, and after a refusal waits for as long as a follower does. */
+/**
+ * Counts a pre-vote reply: starts the election on a quorum, and after a refusal waits for a full election
+ * timeout.
+ */
 export function onPreVoteReply(
   state: ConsensusState,
   from: string,
@@ -136,7 +138,8 @@
     return { state, outputs: [] };
   }
   if (!message.granted) {
-    // Who refuses hears a leader, or has more of the log and may lead itself.
+    // The replica that refused has contact with a leader, or a more up-to-date log and may be elected
+    // itself.
     return { state: { ...state, electionAt: nextElection(ctx) }, outputs: [] };
   }
   if (message.term !== state.term + 1) {
@@ -147,7 +150,7 @@
   return isQuorum(next.members, votes) ? campaign(next, ctx) : { state: next, outputs: [] };
 }
 
-/** Answers a vote request of the current term: one vote a term, synced before it is sent. */
+/** Replies to a vote request. A replica grants one vote per term and syncs it before the reply is sent. */
 export function onVote(
   state: ConsensusState,
   from: string,
@@ -174,7 +177,7 @@
   };
 }
 
-/** Counts a vote of the current term; with a quorum, leads. */
+/** Counts a vote of the current term, and becomes leader on a quorum. */
 export function onVoteReply(
   state: ConsensusState,
   from: string,
@@ -190,11 +193,11 @@
 }
 
 /**
- * Tells whether a leader has been out of touch with a quorum for an election timeout.
+ * Whether a leader has had no contact with a quorum for two election timeouts.
  *
- * Failure: a leader is cut off silently and still believes that it leads. Symptom: it takes
- * submissions that can't be accepted and callers wait for nothing. Enough: it steps down by its own
- * clock; what it might send meanwhile carries an old term or token and is refused by receivers.
+ * A leader that is partitioned without noticing would otherwise keep accepting submissions that can't be
+ * committed, and callers would wait in vain. It steps down by its own clock; receivers refuse what it sends
+ * in the meantime, since it carries an old term or token.
  */
 export function hasLostQuorum(state: ConsensusState, now: number): boolean {
   const heard = peersOf(state).filter(
--- a/src/coordination/ConsensusLog.ts
+++ b/src/coordination/ConsensusLog.ts
@@ -16,14 +16,14 @@
   return state.snapshot.index + state.log.length;
 }
 
-/** Term of the entry at an index; undefined where it isn't kept. */
+/** Term of the entry at an index; undefined if the log does not contain it. */
 export function termAt(state: ConsensusState, index: number): number | undefined {
   return index === state.snapshot.index
     ? state.snapshot.term
     : state.log[index - state.snapshot.index - 1]?.term;
 }
 
-/** Entries from an index on, at most `most` of them. */
+/** Entries from an index on, at most `limit` of them. */
 export function entriesFrom(
   state: ConsensusState,
   index: number,
@@ -33,7 +33,7 @@
   return state.log.slice(start, start + limit);
 }
 
-/** The newest members in a snapshot and the entries behind it. */
+/** Newest members among a snapshot and the log entries after it. */
 export function membersOf(
   snapshot: ConsensusSnapshot,
   log: readonly ConsensusEntry[],
@@ -42,28 +42,31 @@
   return entry?.payload.kind === 'members' ? entry.payload.members : snapshot.members;
 }
 
-/** Every replica but this one. */
+/** All replicas except this one. */
 export function peersOf(state: ConsensusState): readonly string[] {
   return [...state.members.voters, ...state.members.learners].filter((id) => id !== state.id);
 }
 
-/** Tells whether the ids hold a majority of the voters. */
+/** Whether the ids include a majority of the voters. */
 export function isQuorum(members: ConsensusMembers, ids: readonly string[]): boolean {
   const have = members.voters.filter((id) => ids.includes(id)).length;
   return have * 2 > members.voters.length;
 }
 
-/** When a follower that hears nothing from now on campaigns. */
+/** Time at which a follower starts an election if no leader contacts it from now on, ms. */
 export function nextElection({ now, rng }: ConsensusContext): number {
   return now + ELECTION_TIMEOUT_MS + uniformInt(rng, 0, ELECTION_TIMEOUT_MS);
 }
 
-/** When a replica that hears no leader asks for pre-votes again; its peers may just be starting. */
+/**
+ * Time at which a replica without a leader asks for pre-votes again, ms. It does so soon, since its peers may
+ * just be starting.
+ */
 export function nextPreVote({ now, rng }: ConsensusContext): number {
   return now + PRE_VOTE_INTERVAL_MS + uniformInt(rng, 0, PRE_VOTE_INTERVAL_MS);
 }
 
-/** Replaces all entries from the first of `entries` on. */
+/** Replaces the log from the index of the first of `entries` on. */
 export function replaceTail(
   state: ConsensusState,
   entries: readonly ConsensusEntry[],
@@ -76,7 +79,7 @@
   };
 }
 
-/** Moves the commit index forward and hands out what became committed. */
+/** Advances the commit index and outputs the newly committed entries. */
 export function commitTo(state: ConsensusState, index: number): ConsensusStep {
   const commit = Math.min(index, lastIndex(state));
   if (commit <= state.commit) {
@@ -86,7 +89,7 @@
   return { state: { ...state, commit }, outputs: [{ type: 'commit', entries }] };
 }
 
-/** Runs one transition after another, joining their outputs. */
+/** Applies a transition to the state of a step, and appends its outputs to those of the step. */
 export function chain(
   first: ConsensusStep,
   next: (state: ConsensusState) => ConsensusStep,
@@ -95,7 +98,7 @@
   return { state: second.state, outputs: [...first.outputs, ...second.outputs] };
 }
 
-/** A step that only sends. */
+/** A step that leaves the state unchanged. */
 export function sendOnly(
   state: ConsensusState,
   outputs: readonly ConsensusOutput[],
--- a/src/coordination/ConsensusReplication.ts
+++ b/src/coordination/ConsensusReplication.ts
@@ -1,4 +1,4 @@
-/** Replication: what a leader sends, and what it makes of the answers. */
+/** Replication: messages that a leader sends, and how it handles the replies. */
 import { MAX_APPEND_ENTRIES, HEARTBEAT_MS } from './ConsensusConstants.js';
 import {
   chain,
@@ -48,7 +48,7 @@
   };
 }
 
-/** Sends to every replica what it lacks; with nothing to send, a heartbeat. */
+/** Sends every replica the entries that it lacks, or a heartbeat if it lacks none. */
 export function broadcast(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   return {
     state: { ...state, heartbeatAt: ctx.now + HEARTBEAT_MS },
@@ -64,7 +64,7 @@
   return (state) => broadcast(state, ctx);
 }
 
-/** Commits what a quorum holds, of the own term only (Raft, section 5.4.2). */
+/** Commits what a quorum has synced, if that ends with an entry of the current term (Raft, section 5.4.2). */
 function advanceCommit(state: ConsensusState): ConsensusStep {
   const matches = state.members.voters
     .map((id) => (id === state.id ? lastIndex(state) : progressOf(state, id).match))
@@ -73,14 +73,14 @@
   return termAt(state, index) === state.term ? commitTo(state, index) : { state, outputs: [] };
 }
 
-/** Voters that have synced an entry, as a leader knows; itself among them. */
+/** Voters that have synced an entry as far as the leader knows, including itself. */
 export function votersWithEntry(state: ConsensusState, index: number): readonly string[] {
   return state.members.voters.filter(
     (id) => id === state.id || progressOf(state, id).match >= index,
   );
 }
 
-/** Appends as leader. */
+/** Appends an entry as leader and sends it to the other replicas. */
 export function appendAsLeader(
   state: ConsensusState,
   payload: ConsensusPayload,
@@ -94,8 +94,8 @@
 }
 
 /**
- * Becomes leader, and states the members again: an entry of its own term, which commits what
- * earlier terms left and tells a replica that joined without a snapshot who the members are.
+ * Becomes leader, and appends the members again as an entry of its own term. This entry commits what earlier
+ * terms left, and tells a replica that joined without a snapshot who the members are.
  */
 export function becomeLeader(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   const initialProgress = { next: lastIndex(state) + 1, match: 0, heardAt: ctx.now, round: 0 };
@@ -112,7 +112,10 @@
   );
 }
 
-/** Reads whose round a quorum has answered are safe: no newer leader can have committed before. */
+/**
+ * Completes the reads whose round a quorum has confirmed: no newer leader can have committed anything before
+ * them.
+ */
 function completeReads(state: ConsensusState): ConsensusStep {
   const confirms = (round: number): boolean =>
     isQuorum(state.members, [
@@ -126,7 +129,7 @@
   };
 }
 
-/** Takes a follower's answer. */
+/** Handles a follower's reply to an append or a snapshot. */
 export function onAppendReply(
   state: ConsensusState,
   from: string,
@@ -146,7 +149,8 @@
   };
   const next = { ...state, progress: { ...state.progress, [from]: progress } };
   const advanced = chain({ state: next, outputs: [] }, advanceCommit);
-  // Told at once rather than with the next heartbeat: what followers serve waits for it.
+  // Sent at once rather than with the next heartbeat, since followers serve only what they know to be
+  // committed.
   const notifyFollowers = advanced.state.commit > next.commit ? broadcastStep(ctx) : unchanged;
   const committed = chain(chain(advanced, notifyFollowers), completeReads);
   const isBehind =
@@ -159,7 +163,7 @@
     : committed;
 }
 
-/** Starts a read: it is answered once a quorum has confirmed this leader after now. */
+/** Starts a read, which completes once a quorum has confirmed this leader in a round that begins now. */
 export function startRead(state: ConsensusState, id: string, ctx: ConsensusContext): ConsensusStep {
   const round = state.round + 1;
   const read = { id, index: state.commit, round };
--- a/src/coordination/ConsensusTypes.ts
+++ b/src/coordination/ConsensusTypes.ts
@@ -1,25 +1,25 @@
 /** Types of the replicated log's state machine (Raft: Ongaro and Ousterhout, 2014). */
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** Who counts. A learner receives the log and has no vote. */
+/** Replicas of the log. A learner receives the log and has no vote. */
 export interface ConsensusMembers {
   readonly voters: readonly string[];
   readonly learners: readonly string[];
 }
 
-/** What a log entry holds. */
+/** Content of a log entry. */
 export type ConsensusPayload =
   | { readonly kind: 'command'; readonly command: unknown }
   | { readonly kind: 'members'; readonly members: ConsensusMembers };
 
-/** One entry of the log. Indices begin at 1. */
+/** One entry of the log. Indices start at 1. */
 export interface ConsensusEntry {
   readonly index: number;
   readonly term: number;
   readonly payload: ConsensusPayload;
 }
 
-/** What stands before the first entry kept: everything up to `index`, compacted. */
+/** State compacted from all entries up to and including `index`; the log continues after it. */
 export interface ConsensusSnapshot {
   readonly index: number;
   readonly term: number;
@@ -28,7 +28,7 @@
   readonly image: unknown;
 }
 
-/** Term and vote: synced before any message that depends on them is sent. */
+/** Term and vote. They are synced before any message that depends on them is sent. */
 export interface ConsensusHardState {
   readonly term: number;
   readonly vote: string | null;
@@ -64,7 +64,10 @@
   | ({
       readonly type: 'appendReply';
       readonly ok: boolean;
-      /** Index up to which the follower's log is known to be the leader's; a hint when not ok. */
+      /**
+       * Index up to which the follower's log is known to match the leader's; if not ok, a hint where it may
+       * match.
+       */
       readonly match: number;
       readonly round: number;
     } & WithTerm)
@@ -77,24 +80,24 @@
 /** Role of a replica in its term. */
 export type ConsensusRole = 'follower' | 'preCandidate' | 'candidate' | 'leader';
 
-/** What a leader knows of one other replica. */
+/** Replication progress of another replica, as the leader knows it. */
 export interface ConsensusProgress {
   readonly next: number;
   readonly match: number;
-  /** When it was last heard from, ms on the local monotonic clock. */
+  /** Time of its last reply, ms on the local monotonic clock. */
   readonly heardAt: number;
-  /** Highest round it has answered; see reads. */
+  /** Highest round that it has replied to; see {@link ConsensusRead}. */
   readonly round: number;
 }
 
-/** A read that waits until a quorum has confirmed that this replica still leads. */
+/** A read that waits until a quorum has confirmed this replica as leader in `round`. */
 export interface ConsensusRead {
   readonly id: string;
   readonly index: number;
   readonly round: number;
 }
 
-/** Whole state of a replica. */
+/** Complete state of a replica. */
 export interface ConsensusState extends ConsensusHardState {
   readonly id: string;
   readonly role: ConsensusRole;
@@ -103,13 +106,13 @@
   /** Entries after the snapshot. */
   readonly log: readonly ConsensusEntry[];
   readonly commit: number;
-  /** Newest members in the log, in force from when they are appended. */
+  /** Newest members in the log; they take effect when appended, before they are committed. */
   readonly members: ConsensusMembers;
-  /** When to campaign, ms. */
+  /** Time of the next election attempt, ms. */
   readonly electionAt: number;
-  /** When a current leader was last heard, ms. */
+  /** Time of the last message from a current leader, ms. */
   readonly heardAt: number;
-  /** When the leader sends next, ms. */
+  /** Time of the leader's next heartbeat, ms. */
   readonly heartbeatAt: number;
   readonly votes: readonly string[];
   readonly progress: Readonly<Record<string, ConsensusProgress>>;
@@ -117,7 +120,7 @@
   readonly reads: readonly ConsensusRead[];
 }
 
-/** What goes in. */
+/** Inputs of the state machine. */
 export type ConsensusInput =
   | { readonly type: 'tick' }
   | { readonly type: 'message'; readonly from: string; readonly message: ConsensusMessage }
@@ -127,8 +130,9 @@
   | { readonly type: 'compact'; readonly index: number; readonly image: unknown };
 
 /**
- * What comes out. All `persist…` outputs of a step must be synced before any other output of it
- * is carried out: a vote or an acknowledgement that was sent and then forgotten breaks the quorum.
+ * Outputs of the state machine. All `persist…` outputs of a step must be synced before any other output of it
+ * is performed: a vote or an acknowledgement that is sent and then lost in a crash breaks the quorum's
+ * guarantees.
  */
 export type ConsensusOutput =
   | { readonly type: 'persistHard'; readonly hard: ConsensusHardState }
@@ -158,7 +162,7 @@
   readonly outputs: readonly ConsensusOutput[];
 }
 
-/** Time and randomness of a step. */
+/** Clock and random generator of a step. */
 export interface ConsensusContext {
   /** ms on the local monotonic clock. */
   readonly now: number;
--- a/src/coordination/ConsensusVoters.ts
+++ b/src/coordination/ConsensusVoters.ts
@@ -1,7 +1,13 @@
-/** Which replica a leader makes a voter next, or drops: hosts are replaced, and disks are lost. */
+/**
+ * Decides which replica a leader promotes to voter or removes next, since hosts get replaced and disks get
+ * lost.
+ */
 import type { ConsensusMembers, ConsensusState } from './ConsensusTypes.js';
 
-/** A change of members, and what it is for. */
+/**
+ * A change of members and its reason: the voter was superseded (`forgotten`) or is unreachable (`silent`), or
+ * the learner has caught up.
+ */
 export interface VoterChange {
   readonly members: ConsensusMembers;
   readonly reason: 'forgotten' | 'silent' | 'caughtUp';
@@ -9,23 +15,23 @@
 }
 
 /**
- * A voter that the leader hasn't heard for this long may be dropped, ms. A replaced host has to be out of
- * the quorum by the time at which its successor must count, 4 s after its start; hosts that are only frozen
- * or cut off for longer come back as learners and are voters again within a second.
+ * A voter without contact to the leader for this long may be removed, ms. A replaced host has to be out of
+ * the quorum by the time its successor must count, 4 s after the successor's start; hosts that are only
+ * frozen or partitioned for longer return as learners and are voters again within a second.
  */
 export const UNREACHABLE_VOTER_MS = 3_000;
 
-/** What a leader knows beside its own term. */
+/** Observations of a leader that are not part of its consensus state. */
 export interface VoterView {
   /** ms on the local monotonic clock. */
   readonly now: number;
-  /** When this process last heard a replica's host, in whichever term; ms, undefined where it can't tell. */
+  /** Time of this process's last contact with a replica's host, in any term, ms; undefined if unknown. */
   readonly heardAt: (replica: string) => number | undefined;
-  /** Disks that may be lost at once without anything accepted being lost. */
+  /** Number of disks that may be lost at once without losing an accepted entry. */
   readonly lossesBorne: number;
 }
 
-/** A replica's name: its id without the part that a new data folder changes. */
+/** Name of a replica: its id without the part that changes with a new data folder. */
 export function replicaName(replica: string): string {
   return replica.split('.')[0] ?? replica;
 }
@@ -38,10 +44,9 @@
 }
 
 /**
- * Tells whether a replica is silent, by its answers in this term or by the links between hosts.
- *
- * Failure: leaders change while a host is gone. Symptom: counted from each election anew, its silence is
- * noticed late or never, and it still votes when the next disk is lost. Enough: links outlive elections.
+ * Whether a replica is unreachable, by its replies in this term or by the links between hosts. Replies alone
+ * would restart the count at each election, so that a lost host is noticed late or never and still has a vote
+ * when the next disk is lost; links outlive elections.
  */
 function isUnreachable(
   { id, progress }: ConsensusState,
@@ -54,12 +59,12 @@
   );
 }
 
-/** Voters with which every quorum holds an entry on one more disk than may be lost. */
+/** Minimum voters with which every quorum has an entry on one more disk than may be lost. */
 function minVoters({ lossesBorne }: VoterView): number {
   return 2 * lossesBorne + 1;
 }
 
-/** Tells whether the quorum gets smaller when silent voters are dropped, and stays large enough. */
+/** Whether removing unreachable voters makes the quorum smaller and leaves enough voters. */
 function canDropVoter(voters: readonly string[], unreachable: number, view: VoterView): boolean {
   const dropped = voters.length % 2 === 0 ? 1 : 2;
   return unreachable >= dropped && voters.length - dropped >= minVoters(view);
@@ -73,7 +78,7 @@
   return { voters: [...voters, replica], learners: learners.filter((id) => id !== replica) };
 }
 
-/** A learner that is heard and has all that is committed. */
+/** A reachable learner that has all committed entries. */
 function findCaughtUp(state: ConsensusState, view: VoterView): string | undefined {
   const { members, progress, commit } = state;
   return members.learners.find(
@@ -82,20 +87,20 @@
 }
 
 /**
- * The next change of members, if one is due; voters change one at a time.
+ * The next change of members, or null if none is due. Voters change one at a time.
  *
- * Failure: a replica loses its data folder. Symptom: as an empty voter it could vote twice in a term, or
- * count as holding what it forgot. Enough: it returns under a new id without a vote, gets one only with
- * the whole log, and then its old id is dropped.
+ * A replica that lost its data folder could vote twice in a term, or count as having entries that it has
+ * lost. It therefore returns under a new id without a vote and becomes a voter only with the whole log; then
+ * its old id is removed.
  *
- * Failure: hosts are gone for good, and their successors were taken in before they counted as silent.
- * Symptom: of four voters one is dead, or of seven two, and a quorum needs all but as many others; one more
- * lost disk, and nothing is ever accepted again. Enough: silent voters are dropped also without a newcomer
- * wherever that makes the quorum smaller, down to as many as the disks that may be lost ask for.
+ * The successors of lost hosts may be promoted before the lost hosts count as unreachable. Then one of four
+ * voters is dead, or two of seven; if as many more disks are lost, no quorum is left and nothing is ever
+ * accepted again. Unreachable voters are therefore removed even without a newcomer wherever that makes the
+ * quorum smaller, down to the number that the disks that may be lost require.
  *
- * Failure: a voter is cut off while another's disk is lost, and a newcomer is ready. Symptom: dropped to make
- * room, the one that is cut off comes back without a vote, and with the next lost disk too few are left that
- * have one. Enough: a newcomer is promoted first, and a voter dropped only from the larger number.
+ * A voter may be partitioned while another's disk is lost and a newcomer is ready. If it were removed to make
+ * room, it would return without a vote, and after the next lost disk too few voters would be left. A newcomer
+ * is therefore promoted first, and a voter removed only from the larger number.
  */
 export function nextVoterChange(state: ConsensusState, view: VoterView): VoterChange | null {
   const { members } = state;
--- a/src/coordination/EndpointCrashes.ts
+++ b/src/coordination/EndpointCrashes.ts
@@ -1,27 +1,31 @@
 /**
- * Which requests were in progress at an endpoint when it ended. An entry process sees connections end; what that
- * means is told by a probe right after, or by later news of the endpoint. Pure: it is given what was seen, and says
- * when to probe.
+ * Determines which requests were in progress at an endpoint when it crashed. An entry process sees only that
+ * connections close; a probe right after, or a later update of the endpoint's record, tells whether it
+ * crashed. Pure: it is given what was observed and outputs when to probe.
  */
 
 import type { MemberRecord } from '../protocol/index.js';
 
-/** One life of an endpoint: a later one under the same id, or at the same address, is another. */
+/**
+ * Key `id@incarnation` of one incarnation of an endpoint. A later process with the same id or address has
+ * another key.
+ */
 export type IncarnationKey = string;
 
-/** Key of one life of an endpoint: a later one under the same id has nothing in common with it. */
+/** Key of the incarnation that a record describes. */
 export function incarnationKeyOf({ id, incarnation }: MemberRecord): IncarnationKey {
   return `${id}@${incarnation}`;
 }
 
-/** Id of the endpoint whose life it is. */
+/** Id of the endpoint in a key. */
 export function endpointIdOf(incarnationKey: IncarnationKey): string {
   return incarnationKey.slice(0, incarnationKey.lastIndexOf('@'));
 }
 
 /**
- * Whether news prove that an endpoint has ended without having said that it leaves: its lease ran out, a later
- * life has its id, or another endpoint has its address. One that says farewell has a newer version of its record.
+ * Whether an update proves that an endpoint has crashed, without announcing that it leaves: its lease
+ * expired, its id has a later incarnation, or another endpoint serves at its address. An endpoint that
+ * announces its shutdown increases the version of its record.
  */
 export function provesCrash(known: MemberRecord, update: MemberRecord): boolean {
   if (update.id !== known.id) {
@@ -34,48 +38,48 @@
     : update.incarnation > known.incarnation;
 }
 
-/** A request whose connection ended without the endpoint's answer being whole. */
+/** A request whose connection closed before the endpoint's response was complete. */
 export interface LostRequest {
   readonly digest: string;
   readonly customer: string;
-  /** The caller's id of it, for the log. */
+  /** The caller's id of the request, for the log. */
   readonly request: string;
 }
 
-/** Requests lost at one life, while nobody knows whether it has ended. */
+/** Requests lost at one incarnation while it is unknown whether it has crashed. */
 interface PendingLosses {
   readonly losses: readonly { readonly lost: LostRequest; readonly at: number }[];
-  /** When the probe that runs was begun, ms; null for none. */
+  /** Start time of the probe in progress, ms; null for none. */
   readonly probedAt: number | null;
 }
 
-/** State of the watch. */
+/** State of the crash detection. */
 export interface EndpointCrashesState {
   readonly pending: ReadonlyMap<IncarnationKey, PendingLosses>;
-  /** Lives that are known to have ended, with when that was learned, ms. */
+  /** Incarnations that are known to have crashed, with the time at which this became known, ms. */
   readonly crashed: ReadonlyMap<IncarnationKey, number>;
 }
 
-/** How the end of an endpoint was learned. */
+/** How a crash became known: by a refused probe or by a report. */
 export type CrashEvidence = 'refused' | 'reported';
 
-/** What goes in. */
+/** Inputs of the crash detection. */
 export type EndpointCrashesInput =
   | { readonly type: 'lost'; readonly incarnationKey: IncarnationKey; readonly lost: LostRequest }
-  /** A probe has come back; it is undecided where it was neither refused nor kept. */
+  /** Result of a probe; `unknown` if the connection was neither accepted nor refused. */
   | {
       readonly type: 'probed';
       readonly incarnationKey: IncarnationKey;
       readonly result: 'refused' | 'open' | 'unknown';
     }
-  /** News that a life has ended without having said that it leaves. */
+  /** Report that an incarnation has crashed, without announcing that it leaves. */
   | { readonly type: 'ended'; readonly incarnationKey: IncarnationKey }
   | { readonly type: 'tick' };
 
-/** What comes out. */
+/** Outputs of the crash detection. */
 export type EndpointCrashesOutput =
   | { readonly type: 'probe'; readonly incarnationKey: IncarnationKey }
-  /** A life has ended, and these were in progress there. */
+  /** An incarnation has crashed while these requests were in progress there. */
   | {
       readonly type: 'ended';
       readonly incarnationKey: IncarnationKey;
@@ -89,13 +93,13 @@
   readonly outputs: readonly EndpointCrashesOutput[];
 }
 
-/** Nothing seen yet. */
+/** Initial state: nothing observed. */
 export const NO_ENDPOINT_CRASHES: EndpointCrashesState = { pending: new Map(), crashed: new Map() };
 
-/** News of an end come at most this long after the connections to it have ended: the longest lease, ms. */
+/** How long a lost request may be attributed to a crash that is reported later: the longest lease, ms. */
 export const PENDING_LOSS_MS = 6_000;
 
-/** A life is known to have ended for this long: losses there are reported late by stalled streams. ms. */
+/** How long a crash is remembered, since stalled streams report their losses late; ms. */
 const CRASH_RETENTION_MS = 60_000;
 
 function withPending(
@@ -148,11 +152,11 @@
 }
 
 /**
- * An endpoint that still listens has not ended: what was lost there before is no evidence.
+ * Drops losses from before a probe that the endpoint accepted: since it still listens, it has not crashed.
  *
- * Failure: one rank of a group ends, and all others drop their work, or a connection is reset. Symptom: the
- * requests there would count as if they had ended an endpoint, and be refused for it. Enough: an endpoint that
- * takes a connection after the loss has outlived it. What was lost while the probe ran is probed for again.
+ * Requests are also lost when one rank of a group crashes and all others drop their work, or when a
+ * connection is reset. Without this check they would count as having crashed an endpoint, and be refused for
+ * it. Requests lost while the probe ran are probed for again.
  */
 function onOpen(
   state: EndpointCrashesState,
@@ -214,7 +218,7 @@
   tick: (state, _input, now) => onTick(state, now),
 };
 
-/** One step of the watch. */
+/** Applies one input to the crash detection. */
 export function stepEndpointCrashes(
   state: EndpointCrashesState,
   input: EndpointCrashesInput,
--- a/src/coordination/EngineIncarnations.ts
+++ b/src/coordination/EngineIncarnations.ts
@@ -1,28 +1,37 @@
-/** Lives of one engine, as the gate in front of it sees them. An engine doesn't say that it has started anew. */
+/**
+ * Counts the incarnations of one engine, as seen by the gate in front of it. An engine does not announce a
+ * restart.
+ */
 
-/** The life at hand, and when its end was seen, ms on the local monotonic clock; null while it lives. */
+/**
+ * Number of the current incarnation, from 1 on, and when its crash was seen, ms on the local monotonic clock;
+ * null while it runs.
+ */
 export interface EngineIncarnation {
   readonly ordinal: number;
   readonly crashedAt: number | null;
 }
 
-/** Before anything was seen. */
+/** Initial state: nothing observed. */
 export const FIRST_INCARNATION: EngineIncarnation = { ordinal: 1, crashedAt: null };
 
-/** The engine has taken an attempt that began at a time: after an end that is the next life. */
+/**
+ * The engine has accepted an attempt that began at `begunAt`. If that was after a crash, this is the next
+ * incarnation.
+ */
 function atAttempt(current: EngineIncarnation, begunAt: number): EngineIncarnation {
   const isNext = current.crashedAt !== null && begunAt > current.crashedAt;
   return isNext ? { ordinal: current.ordinal + 1, crashedAt: null } : current;
 }
 
-/** The engine has answered an attempt that began at a time. */
+/** The engine has answered an attempt that began at `begunAt`, ms. */
 export function engineAnswered(current: EngineIncarnation, begunAt: number): EngineIncarnation {
   return atAttempt(current, begunAt);
 }
 
 /**
- * The engine has ended under an attempt that it had taken. All attempts that were in progress then are lost to one
- * and the same life; one that began after the end was seen belongs to the next.
+ * The engine has crashed during an attempt that it had accepted. All attempts in progress at that time were
+ * lost to the same incarnation; one that began after the crash was seen belongs to the next.
  */
 export function engineCrashed(
   current: EngineIncarnation,
--- a/src/coordination/Lease.ts
+++ b/src/coordination/Lease.ts
@@ -1,45 +1,48 @@
 /**
- * The right to coordinate a group, as an endpoint process of the group sees it. The log knows who
- * holds a lease and its fencing token; how long it lasts, each side measures by its own clock.
+ * The lease on coordinating a group, as an endpoint process of the group sees it. The log records the holder
+ * of a lease and its fencing token; each side measures the duration by its own clock.
  */
 import type { LeaseGrant } from '../protocol/index.js';
 import type { LeaseState } from '../state/index.js';
 
 /**
- * How long a lease lasts from the moment its holder asked for it. A coordinator that dies leaves its
- * group without one for this long, perhaps held, and demand shifts within seconds. Shorter than an
- * election of control: a lease that runs out in one is granted to its holder again. In ms.
+ * Duration of a lease from the time at which its holder requested it, in ms. A coordinator that crashes
+ * leaves its group without one for this long, possibly held at a step of a map change, while demand shifts
+ * within seconds. The lease is shorter than an election of the control processes; one that expires during an
+ * election is granted to its holder again.
  */
 export const LEASE_MS = 800;
 
-/** A holder renews this long after its last request; one lost packet is borne. In ms. */
+/** Interval from a request of a holder to its next renewal, in ms. One lost packet is tolerated. */
 export const RENEW_INTERVAL_MS = 200;
 
-/** A rival waits this much longer than the lease, for clocks that run at different speeds. ms. */
+/**
+ * Additional wait of a rival beyond the duration of the lease, for clocks that run at different rates, ms.
+ */
 export const LEASE_CLOCK_MARGIN_MS = 150;
 
-/** What an endpoint process knows of its group's lease. */
+/** State of a group's lease as an endpoint process knows it. */
 export interface LeaseView {
   readonly self: string;
   readonly group: string;
   /** The lease held, with the local time until which it may be used; null if not held. */
   readonly held: { readonly token: number; readonly until: number } | null;
-  /** The last lease seen, and since when it has been seen unchanged, ms. */
+  /** The last lease seen, and since when it has been seen unchanged, ms on the local clock. */
   readonly seen: LeaseState | null;
   readonly unchangedSince: number;
-  /** When the open request was sent; null for none. */
+  /** Send time of the request in flight; null for none. */
   readonly requestedAt: number | null;
   readonly nextRequestAt: number;
 }
 
-/** What goes in. */
+/** Inputs of the lease's state machine. */
 export type LeaseInput =
   | { readonly type: 'tick' }
   | { readonly type: 'granted'; readonly grant: LeaseGrant; readonly renewals: number }
   | { readonly type: 'held'; readonly lease: LeaseState }
   | { readonly type: 'failed' };
 
-/** What comes out: a request to the log, or news for the coordinator's task. */
+/** Outputs: a request to the leader of the log, or a notification of the coordinator. */
 export type LeaseOutput =
   | {
       readonly type: 'ask';
@@ -55,7 +58,7 @@
   readonly outputs: readonly LeaseOutput[];
 }
 
-/** An endpoint process that knows nothing yet. */
+/** Initial state of an endpoint process. */
 export function initLease(self: string, group: string, now: number): LeaseView {
   return {
     self,
@@ -69,8 +72,8 @@
 }
 
 /**
- * Tells whether the lease may be used now. A process that was frozen asks again before each use;
- * should it freeze between the two, the receiver refuses its token.
+ * Whether the lease may be used now. To be checked before each use, since the process may have been frozen;
+ * if it is frozen between the check and the use, the receiver refuses its token.
  */
 export function mayCoordinate(state: LeaseView, now: number): boolean {
   return state.held !== null && now < state.held.until;
@@ -82,7 +85,7 @@
     : { state, outputs: [] };
 }
 
-/** A rival may ask for the lease once it has seen no renewal for longer than the lease lasts. */
+/** A rival may request the lease once it has seen no renewal for longer than the lease lasts. */
 function mayTakeOver(state: LeaseView, now: number): boolean {
   return (
     state.seen === null ||
@@ -112,7 +115,7 @@
   { grant, renewals }: Extract<LeaseInput, { type: 'granted' }>,
   now: number,
 ): LeaseStep {
-  // Counted from the request, not the answer: the answer may have been under way for long.
+  // Counted from the request, since the reply may have been delayed.
   const until = (state.requestedAt ?? now) + grant.durationMs;
   const seen: LeaseState = { holder: grant.holder, token: grant.token, renewals };
   const gained = state.held?.token !== grant.token;
@@ -160,7 +163,7 @@
   failed: (state) => ({ state: { ...state, requestedAt: null }, outputs: [] }),
 };
 
-/** One step of a lease's view. */
+/** Applies one input to the state of a lease. */
 export function stepLease(state: LeaseView, input: LeaseInput, now: number): LeaseStep {
   const handler = HANDLERS[input.type] as (
     state: LeaseView,
--- a/src/coordination/LeaseHolder.ts
+++ b/src/coordination/LeaseHolder.ts
@@ -1,13 +1,15 @@
-/** Who holds a lease: a process in one of its lives; and what proves that this life is over. */
+/**
+ * The holder of a lease, one incarnation of a process, and what proves that this incarnation has terminated.
+ */
 import type { MemberRecord } from '../protocol/index.js';
 
-/** A process in one of its lives. */
+/** One incarnation of a process. */
 export interface LeaseHolder {
   readonly id: string;
   readonly incarnation: number;
 }
 
-/** The holder's name in the log. */
+/** Name of the holder in the log, `id@incarnation`. */
 export function holderName({ id, incarnation }: LeaseHolder): string {
   return `${id}@${incarnation}`;
 }
@@ -18,8 +20,8 @@
 }
 
 /**
- * Tells whether the life of a process that holds a lease is over. One that is merely not heard may be cut off or stand
- * still, and its lease is waited out.
+ * Whether the incarnation that holds a lease has terminated. A process that is only unreachable may be
+ * partitioned or frozen, so its lease has to expire first.
  *
  * @param recordOf The newest record of a process, by its id.
  */
--- a/src/coordination/LeaseRenewals.ts
+++ b/src/coordination/LeaseRenewals.ts
@@ -1,11 +1,11 @@
 /**
- * Leases as the leader keeps them. Who holds a lease is in the log; that it was renewed is not: 359
- * groups that renew every 2 s would else put 180 entries a second into it.
+ * Renewals of leases, which the leader keeps in memory. Only the holder of a lease is in the log: 359 groups
+ * that renew every 200 ms would otherwise append about 1800 entries a second.
  */
 import type { LeaseState } from '../state/index.js';
 import { LEASE_CLOCK_MARGIN_MS, LEASE_MS } from './Lease.js';
 
-/** A renewal that the leader remembers. */
+/** Renewals of a lease under one token, and the time of the last one. */
 interface Renewal {
   readonly token: number;
   readonly count: number;
@@ -13,18 +13,18 @@
   readonly at: number;
 }
 
-/** What a leader remembers since its election. */
+/** Renewals that a leader has received since its election, by group. */
 export interface LeaseRenewalsState {
   readonly electedAt: number;
   readonly renewals: ReadonlyMap<string, Renewal>;
 }
 
-/** A leader just elected. */
+/** State of a leader that has just been elected. */
 export function initLeaseRenewals(now: number): LeaseRenewalsState {
   return { electedAt: now, renewals: new Map() };
 }
 
-/** Remembers that the holder of a lease has renewed it. */
+/** Records that the holder of a lease has renewed it. */
 export function recordRenewal(
   state: LeaseRenewalsState,
   group: string,
@@ -36,18 +36,18 @@
   return { ...state, renewals: new Map(state.renewals).set(group, { token, count, at: now }) };
 }
 
-/** How often a lease was renewed, as far as this leader knows; a rival sees by it that it lives. */
+/** Number of renewals of a lease known to this leader. A rival sees from it that the holder is alive. */
 export function countRenewals(state: LeaseRenewalsState, group: string, token: number): number {
   const known = state.renewals.get(group);
   return known?.token === token ? known.count : 0;
 }
 
 /**
- * Tells whether a lease may be granted to someone else.
+ * Whether a lease may be granted to another process.
  *
- * Failure: a new leader knows of no renewals and takes a lease for expired. Symptom: two hosts
- * coordinate one group, each under a lease that runs. Enough: it counts every lease as renewed at
- * its own election, the latest moment at which its predecessor can have done so.
+ * A new leader does not know of earlier renewals. If it took a lease for expired, two hosts could coordinate
+ * one group, each under a valid lease. It therefore counts every lease as renewed at its own election, the
+ * latest time at which its predecessor can have renewed it.
  */
 export function mayGrant(
   state: LeaseRenewalsState,
--- a/src/coordination/MembershipHub.ts
+++ b/src/coordination/MembershipHub.ts
@@ -1,29 +1,29 @@
 /**
- * Membership as a control process keeps it. Each entry and endpoint process is attached to one
- * control process, which renews its lease as long as the link is heard and tells the others; only
- * changes travel, so the cost follows joins and leaves and not the number of members.
+ * Membership as a control process maintains it. Each entry and endpoint process is attached to one control
+ * process, which renews its lease while the link is alive and informs the other control processes. Only
+ * changes are sent, so the cost depends on joins and leaves and not on the number of members.
  */
 import type { HelloReply, MemberRecord } from '../protocol/index.js';
 import { mergeRecords, type Directory } from '../state/index.js';
 
-/** A member whose link is silent for this long is declared gone. In ms. */
+/** A member without contact for this long is declared gone. In ms. */
 export const MEMBER_LEASE_MS = 3_000;
 
-/** How long the record of a member that is gone is kept, against late messages. In ms. */
+/** How long the record of a gone member is kept, so that late messages are recognised as old. In ms. */
 export const TOMBSTONE_MS = 600_000;
 
-/** What one control process knows of the members. */
+/** Members as one control process knows them. */
 export interface MembershipState {
   readonly directory: Directory;
-  /** Members attached here, with the time at which they were last heard, ms. */
+  /** Members attached here, with the time of the last contact, ms. */
   readonly attached: ReadonlyMap<string, number>;
-  /** Which control process told us of a member. */
+  /** Id of the control process that reported a member. */
   readonly reportedBy: ReadonlyMap<string, string>;
-  /** When members were seen to be gone, ms. */
+  /** Time at which members became known as gone, ms. */
   readonly goneAt: ReadonlyMap<string, number>;
 }
 
-/** What goes in. */
+/** Inputs of the membership. */
 export type MembershipInput =
   | { readonly type: 'hello'; readonly record: MemberRecord }
   | { readonly type: 'announce'; readonly record: MemberRecord }
@@ -37,10 +37,10 @@
     }
   | { readonly type: 'tick' };
 
-/** What comes out. */
+/** Outputs of the membership. */
 export type MembershipOutput =
   | { readonly type: 'hello'; readonly id: string; readonly reply: HelloReply }
-  /** News for the members attached here, and for the other control processes if `origin`. */
+  /** Updates for the members attached here and, if `origin`, for the other control processes. */
   | {
       readonly type: 'publish';
       readonly records: readonly MemberRecord[];
@@ -53,7 +53,7 @@
   readonly outputs: readonly MembershipOutput[];
 }
 
-/** Nobody known yet. */
+/** Initial state without members. */
 export const EMPTY_MEMBERSHIP: MembershipState = {
   directory: new Map(),
   attached: new Map(),
@@ -93,11 +93,11 @@
 }
 
 /**
- * Takes a member in.
+ * Attaches a member.
  *
- * Failure: a process restarted on a host whose clock went back has a lower incarnation than the
- * one before. Symptom: its records lose against the dead one's. Enough: it is told the least
- * incarnation that wins, takes that one and says hello again.
+ * A process that restarts on a host whose clock was set back has a lower incarnation than before, and its
+ * records would lose against the old ones. The reply therefore names the lowest incarnation that wins; the
+ * process adopts it and sends `hello` again.
  */
 function onHello(
   state: MembershipState,
@@ -125,12 +125,12 @@
 }
 
 /**
- * A peer's whole list: what it had told us before and no longer holds is gone, but for members that
- * announce themselves by heartbeats.
+ * Merges a peer's full list. Members that the peer had reported and no longer lists are gone, except those
+ * with a lease of their own (`leaseMs`), which announce themselves by heartbeats.
  *
- * Failure: a control process restarts empty, and its list lacks endpoints whose next heartbeat is
- * still to come. Symptom: a third of a service's endpoints is gone for a second after each restart.
- * Enough: such members are taken over here, and their own lease decides.
+ * A control process that has restarted lists no endpoint whose next heartbeat is still to come. Without the
+ * exception, a third of a service's endpoints is gone for a second after each restart. Such members are
+ * attached here instead, and their own lease decides.
  */
 function onPeerFull(
   state: MembershipState,
@@ -157,8 +157,8 @@
 }
 
 /**
- * Declares members gone whose lease ran out. It runs by the local monotonic clock: after a freeze
- * all leases look expired at once, so the caller feeds `heard` for open links before it ticks.
+ * Declares members gone whose lease has expired by the local monotonic clock. After a freeze all leases look
+ * expired, so the caller inputs `heard` for open links before `tick`.
  */
 function onTick(state: MembershipState, now: number): MembershipStep {
   const expired = [...state.attached]
@@ -206,7 +206,7 @@
   tick: (state, _input, now) => onTick(state, now),
 };
 
-/** One step of the membership of a control process. */
+/** Applies one input to the membership of a control process. */
 export function stepMembership(
   state: MembershipState,
   input: MembershipInput,
@@ -220,7 +220,7 @@
   return handler(state, input, now);
 }
 
-/** Members attached here: what a peer is told when the link to it is new. */
+/** Records of the members attached here, sent to a peer when the link to it is new. */
 export function attachedRecords(state: MembershipState): readonly MemberRecord[] {
   return [...state.attached.keys()]
     .map((id) => state.directory.get(id))
--- a/src/coordination/MembershipView.ts
+++ b/src/coordination/MembershipView.ts
@@ -1,26 +1,26 @@
-/** The directory as an entry process sees it through its control process. */
+/** The directory as an entry process receives it from its control process. */
 import type { DirectoryDelta, MemberRecord } from '../protocol/index.js';
 import { isNewerRecord } from '../state/index.js';
 
 /** How long a member missing from a full list is still used. In ms. */
 export const MISSING_GRACE_MS = 5_000;
 
-/** A member, and since when the newest full list has lacked it. */
+/** A member, and since when the newest full list has lacked it, ms; null if it does not. */
 export interface ViewedMember {
   readonly record: MemberRecord;
   readonly missingSince: number | null;
 }
 
-/** What an entry process knows of the members. */
+/** Members as an entry process knows them, by id. */
 export type MembershipView = ReadonlyMap<string, ViewedMember>;
 
 /**
- * Takes in news.
+ * Merges an update of the directory.
  *
- * Failure: a control process restarts empty, and entry processes attach to it before the endpoints
- * do. Symptom: its full list lacks endpoints that serve, and calls are refused for want of one.
- * Enough: what a full list lacks stays in use for a grace longer than it takes to attach again; an
- * endpoint that is really gone refuses or fails the first attempt meanwhile.
+ * Entry processes may attach to a restarted control process before the endpoints do; its full list then lacks
+ * endpoints that serve, and calls would be refused for want of an endpoint. A member that a full list lacks
+ * therefore stays in use for longer than it takes to attach again. An endpoint that is really gone refuses or
+ * fails the first attempt meanwhile.
  */
 export function mergeDelta(
   view: MembershipView,
@@ -47,7 +47,7 @@
   return next;
 }
 
-/** Drops members that are gone, or were missing for longer than {@link MISSING_GRACE_MS}. */
+/** Drops members that have been missing from full lists for longer than {@link MISSING_GRACE_MS}. */
 export function pruneView(view: MembershipView, now: number): MembershipView {
   const stale = [...view].filter(
     ([, { missingSince }]) => missingSince !== null && now - missingSince > MISSING_GRACE_MS,
@@ -60,7 +60,7 @@
   return next;
 }
 
-/** Members that take new work. */
+/** Members that accept new requests. */
 export function servingMembers(view: MembershipView): readonly MemberRecord[] {
   return [...view.values()]
     .map(({ record }) => record)
--- a/src/coordination/Quarantine.ts
+++ b/src/coordination/Quarantine.ts
@@ -1,54 +1,62 @@
 /**
- * Requests that endpoints have ended under, as every entry and control process remembers them.
+ * Requests that were in progress at endpoints that crashed, as every entry and control process records them.
  *
- * Failure: a request ends each endpoint that runs it (a query of death), and whoever sends, retries or resumes it
- * doesn't know what it did before. Symptom: endpoint after endpoint ends, each with all that runs beside it. Enough:
- * each end is held against the requests in progress there, all entry processes learn of it, and a request that too
- * many ends are held against is sent to no endpoint.
+ * A request may crash each endpoint that runs it (a query of death), and whoever sends, retries or resumes it
+ * does not know of the earlier crashes: endpoint after endpoint would crash, with all requests in progress
+ * there. Each crash is therefore recorded against the requests in progress at the endpoint and reported to
+ * all entry processes, and a request with too many crashes is sent to no endpoint.
  *
- * A set that merges: ends and those cleared are unions, so that neither order nor repetition of news matters.
+ * Crashes and cleared crashes are sets that merge by union, so that neither order nor repetition of updates
+ * matters.
  */
 import type { QuarantineNews, SuspectRecord } from '../protocol/index.js';
 import type { IncarnationKey, LostRequest } from './EndpointCrashes.js';
 import { hashText } from './RoutingHash.js';
 
-/** What is held against one request. */
+/** Crashes recorded against one request. */
 export interface Suspect extends Omit<SuspectRecord, 'ageMs'> {
-  /** When the last end was, ms on the local monotonic clock. */
+  /** Time of the last crash, ms on the local monotonic clock. */
   readonly lastCrashAt: number;
 }
 
 /** All suspects, by digest. */
 export type QuarantineState = ReadonlyMap<string, Suspect>;
 
-/** Nobody is suspected. */
+/** Initial state without suspects. */
 export const EMPTY_QUARANTINE: QuarantineState = new Map();
 
 /**
- * Ends after which a request is held. The end of one rank takes the work of its whole group, for seconds: there two
- * must do, since a third costs more callers than are ever refused for having been neighbours twice.
+ * Number of crashes after which a request is quarantined. The crash of one rank interrupts its whole group
+ * for seconds; there two must suffice, since a third costs more callers than are ever refused because their
+ * requests happened to be in progress at two crashes.
  */
 export const QUARANTINE_CRASHES = { group: 2, single: 3 } as const;
 
-/** A request is forgotten this long after the last end; ms. A new version of the endpoints may well run it. */
+/**
+ * How long a suspect is kept after its last crash, ms. A new version of the endpoints may well run the
+ * request.
+ */
 export const SUSPECT_RETENTION_MS = 600_000;
 
-/** Suspects kept of one customer and in all: a hundred in progress at each of several endpoints that ended. */
+/**
+ * Maximum suspects per customer and in total: a hundred requests in progress at each of several crashed
+ * endpoints.
+ */
 export const MAX_SUSPECTS_PER_CUSTOMER = 256;
 export const MAX_SUSPECTS = 1_024;
 
-/** Ends kept of one request; more than are ever counted. */
+/** Maximum crashes kept per request; more than are ever counted. */
 const MAX_CRASHES_PER_SUSPECT = 16;
 
-/** Suspects in one message. */
+/** Maximum suspects in one message. */
 const MAX_RECORDS_PER_MESSAGE = 64;
 
-/** Ends that are held against a request. */
+/** Number of crashes recorded against a request and not cleared. */
 export function crashCount({ ends, cleared }: Pick<Suspect, 'ends' | 'cleared'>): number {
   return ends.filter((incarnationKey) => !cleared.includes(incarnationKey)).length;
 }
 
-/** Union of two sorted lists; what is beyond the bound is left out on every process alike. */
+/** Sorted union of two lists. Every process drops the same entries beyond the maximum. */
 function unionOf(a: readonly string[], b: readonly string[]): readonly string[] {
   return [...new Set([...a, ...b])].sort().slice(0, MAX_CRASHES_PER_SUSPECT);
 }
@@ -57,7 +65,10 @@
   return a.every((incarnationKey) => b.includes(incarnationKey));
 }
 
-/** When the last end was: told by whoever knows more ends, or has known the same ones for longer. */
+/**
+ * Time of the last crash: that of the suspect with more crashes, the earlier one if both have the same
+ * crashes, and the later one if each has crashes that the other lacks.
+ */
 function mergeLastCrashAt(a: Suspect, b: Suspect): number {
   const aWithinB = isSubset(a.ends, b.ends);
   const bWithinA = isSubset(b.ends, a.ends);
@@ -84,12 +95,15 @@
   return a?.ends.length === b.ends.length && a.cleared.length === b.cleared.length;
 }
 
-/** Most ends first: what is about to be held is kept. By digest then, so that all processes keep the same. */
+/**
+ * Sorts suspects with most crashes first, so that those close to quarantine are kept, then by digest, so that
+ * all processes keep the same ones.
+ */
 function compareSuspects(a: Suspect, b: Suspect): number {
   return crashCount(b) - crashCount(a) || (a.digest < b.digest ? -1 : 1);
 }
 
-/** Drops suspects beyond the bounds: a customer who sends a thousand fills only its own part. */
+/** Drops suspects beyond the limits. A customer with a thousand suspects uses up only its own share. */
 function trim(state: QuarantineState): QuarantineState {
   const counts = new Map<string, number>();
   const kept = [...state.values()].sort(compareSuspects).filter(({ customer }) => {
@@ -102,7 +116,7 @@
     : new Map(kept.slice(0, MAX_SUSPECTS).map((suspect) => [suspect.digest, suspect]));
 }
 
-/** A set after a merge, with the suspects that are news. */
+/** State after a merge, with the suspects that changed. */
 export interface QuarantineStep {
   readonly state: QuarantineState;
   readonly changed: readonly Suspect[];
@@ -121,7 +135,7 @@
   return { state: kept, changed };
 }
 
-/** Holds the end of an endpoint's life against all that was in progress there. */
+/** Records the crash of an incarnation of an endpoint against all requests in progress there. */
 export function recordSuspects(
   state: QuarantineState,
   incarnationKey: IncarnationKey,
@@ -139,8 +153,8 @@
 }
 
 /**
- * Holds nothing of what is known so far against a request any longer: it was answered whole, or an operator
- * releases it. Reports of these ends that come late, or again, change nothing.
+ * Clears the crashes known so far for a request that was answered completely or is released by an operator.
+ * Reports of these crashes that are late or repeated have no effect.
  */
 export function clearSuspect(state: QuarantineState, digest: string): QuarantineStep {
   const known = state.get(digest);
@@ -149,7 +163,7 @@
     : merge(state, [{ ...known, cleared: known.ends }]);
 }
 
-/** Takes another process's news, or its whole set. */
+/** Merges an update, or the full set, of another process. */
 export function mergeSuspectRecords(
   state: QuarantineState,
   records: readonly SuspectRecord[],
@@ -161,13 +175,13 @@
   return merge(state, suspects);
 }
 
-/** Forgets what is too old; the same set where nothing is. */
+/** Drops suspects beyond their retention time; returns the same state if there are none. */
 export function dropExpiredSuspects(state: QuarantineState, now: number): QuarantineState {
   const kept = [...state].filter(([, { lastCrashAt }]) => now - lastCrashAt < SUSPECT_RETENTION_MS);
   return kept.length === state.size ? state : new Map(kept);
 }
 
-/** Stands for a whole set: two processes that hold the same have the same. 0 for an empty one. */
+/** Hash of all suspects, equal for two processes with the same suspects. 0 if there are none. */
 export function hashQuarantine(state: QuarantineState): number {
   const lines = [...state.values()]
     .map(({ digest, ends, cleared }) => `${digest} ${ends.join(',')} ${cleared.join(',')}`)
@@ -175,7 +189,7 @@
   return lines.length === 0 ? 0 : hashText(lines.join('\n'));
 }
 
-/** Suspects as they are told to another process, in messages of a bounded size; one at least. */
+/** Updates with suspects for another process, in messages of a bounded size; at least one message. */
 export function toQuarantineUpdates(
   state: QuarantineState,
   suspects: readonly Suspect[],
--- a/src/coordination/Rollout.ts
+++ b/src/coordination/Rollout.ts
@@ -1,23 +1,31 @@
 /**
- * Rollout of the configuration from a control process to the processes attached to it. Each is
- * sent deltas from the index it holds, or a snapshot; only entries that concern it.
+ * Rollout of the configuration from a control process to the processes attached to it. Each is sent deltas
+ * from the index that it holds, or a snapshot, with only the entries that concern it.
  */
 import type { ConfigDelta, ConfigEntries, MemberRecord } from '../protocol/index.js';
 import { deltasSince, type ConfigState } from '../state/index.js';
 
-/** How long a restarted control process waits for a leader before it serves what it holds. ms. */
+/**
+ * How long a restarted control process waits for a leader to confirm its configuration before it serves what
+ * it holds. In ms.
+ */
 export const CONFIRM_TIMEOUT_MS = 2_000;
 
-/** Where a control process stands after its start. */
+/**
+ * Phase of a control process since its start: its configuration is not confirmed yet (`checking`), confirmed
+ * by a quorum (`checked`), or was not confirmed within {@link CONFIRM_TIMEOUT_MS} (`cutOff`).
+ */
 export type RolloutPhase = 'checking' | 'checked' | 'cutOff';
 
-/** What a control process has served, and to whom. */
+/** Configuration that a control process serves, and what each subscriber has been sent. */
 export interface RolloutState {
   readonly phase: RolloutPhase;
   readonly startedAt: number;
-  /** Newest configuration known: from the log, or in a cut-off AZ from a process attached. */
+  /**
+   * Newest configuration known: from the log, or in a partitioned availability zone from an attached process.
+   */
   readonly config: ConfigState;
-  /** Newest deltas, oldest first, in one unbroken row that ends at `config`. */
+  /** Newest deltas, oldest first, without gaps up to `config`. */
   readonly deltas: readonly ConfigDelta[];
   readonly subscribers: ReadonlyMap<
     string,
@@ -25,7 +33,7 @@
   >;
 }
 
-/** What goes in. */
+/** Inputs of the rollout. */
 export type RolloutInput =
   /** The log's configuration has changed or been recovered. */
   | {
@@ -37,16 +45,16 @@
   | { readonly type: 'confirmed' }
   | { readonly type: 'subscribe'; readonly record: MemberRecord; readonly held: number }
   | { readonly type: 'unsubscribe'; readonly id: string }
-  /** A process attached holds a newer configuration than this one, and sent it. */
+  /** An attached process holds a newer configuration than this one, and has sent it. */
   | { readonly type: 'learned'; readonly config: ConfigState }
-  /** A process attached had a gap. */
+  /** An attached process has a gap in its deltas. */
   | { readonly type: 'gap'; readonly id: string; readonly held: number }
   | { readonly type: 'tick' };
 
-/** What comes out. */
+/** Outputs of the rollout. */
 export type RolloutOutput =
   | { readonly type: 'send'; readonly to: string; readonly delta: ConfigDelta }
-  /** Ask this process for the newer configuration it holds. */
+  /** Request the newer configuration that this process holds. */
   | { readonly type: 'fetch'; readonly from: string }
   | { readonly type: 'phase'; readonly phase: RolloutPhase };
 
@@ -56,7 +64,7 @@
   readonly outputs: readonly RolloutOutput[];
 }
 
-/** State at the start of a control process. */
+/** Initial state of a control process. */
 export function initRollout(now: number): RolloutState {
   return {
     phase: 'checking',
@@ -67,7 +75,7 @@
   };
 }
 
-/** Tells whether an entry concerns a process: an endpoint needs its own service alone. */
+/** Whether an entry concerns a process: an endpoint needs only its own service. */
 export function isRelevantTo(record: MemberRecord, key: string): boolean {
   const { offer } = record;
   return record.role !== 'endpoint' || key === `${offer?.fleet}/service/${offer?.service}`;
@@ -88,7 +96,10 @@
   };
 }
 
-/** Entry processes that hold more than this one: only they hold the whole, an endpoint its share. */
+/**
+ * Entry processes with a newer configuration than this one. Endpoints are left out, since they hold only a
+ * part.
+ */
 function findNewerHolders({ subscribers, config }: RolloutState): readonly string[] {
   return [...subscribers.values()]
     .filter(({ record, sentIndex }) => record.role === 'entry' && sentIndex > config.index)
@@ -96,9 +107,9 @@
 }
 
 /**
- * Brings every process attached up to date, unless this one isn't sure of its own yet, or has just
- * heard of a newer configuration that it is fetching: a process that restarted would else take the
- * older one while its neighbour acts on the newer.
+ * Sends all attached processes what they lack, unless the configuration held here is unconfirmed or a
+ * subscriber has a newer one that is being fetched: a process that restarts would otherwise take the older
+ * one while its neighbour applies the newer.
  */
 function pushUpdates(state: RolloutState): RolloutStep {
   const mustWait = state.phase === 'checking' || findNewerHolders(state).length > 0;
@@ -131,7 +142,7 @@
   return { ...pushed, outputs: [{ type: 'phase', phase }, ...pushed.outputs] };
 }
 
-/** Takes a configuration only if it is newer: the index served never goes back. */
+/** Adopts a configuration only if it is newer, so that the index served never goes back. */
 function adoptConfig(
   state: RolloutState,
   config: ConfigState,
@@ -142,7 +153,7 @@
     : { state, outputs: [] };
 }
 
-/** Asks those ahead for what they hold. */
+/** Requests the configuration from the subscribers with a newer one. */
 function fetchNewer(state: RolloutState): readonly RolloutOutput[] {
   return findNewerHolders(state).map((from) => ({ type: 'fetch', from }));
 }
@@ -165,7 +176,7 @@
 function onUnsubscribe(state: RolloutState, id: string): RolloutStep {
   const subscribers = new Map(state.subscribers);
   subscribers.delete(id);
-  // If it was ahead and is gone, the others need no longer wait for what it held.
+  // If it had a newer configuration, the others need no longer wait for that.
   return pushUpdates({ ...state, subscribers });
 }
 
@@ -201,12 +212,12 @@
 };
 
 /**
- * One step of the rollout.
+ * Applies one input to the rollout.
  *
- * Failure: a control process restarts after hundreds of changes and serves what it remembers.
- * Symptom: processes that start beside it take an old configuration. Enough: until a quorum has
- * confirmed its log it serves nobody; cut off from the quorum, it waits first for the processes
- * attached to it to tell what they hold, and serves the newest of that.
+ * The configuration on the disk of a control process that restarts may be hundreds of changes old, and
+ * processes that start beside it must not take it. It serves no process until a quorum has confirmed its log.
+ * Without a quorum, it first waits for the attached processes to report what they hold, and serves the newest
+ * of that.
  */
 export function stepRollout(state: RolloutState, input: RolloutInput, now: number): RolloutStep {
   const handler = HANDLERS[input.type] as (
--- a/src/coordination/__tests__/unit/ConfigFreshness.test.ts
+++ b/src/coordination/__tests__/unit/ConfigFreshness.test.ts
@@ -17,45 +17,45 @@
 
 const HELD = receiveConfig(UNPROVEN, 5);
 
-describe('Freshness', () => {
-  it('is not given before a leader has answered', () => {
+describe('ConfigFreshness', () => {
+  it('grants no lease before a leader has replied', () => {
     assert.equal(isFresh(UNPROVEN, at(0), LEASE_MS), false);
     assert.equal(isFresh(HELD, at(0), LEASE_MS), false);
     assert.equal(isFresh(receiveNewestIndex(UNPROVEN, 0, at(0)), at(1), LEASE_MS), false);
   });
 
-  // The answer to a question was under way for four seconds while a key was withdrawn. Counted from
-  // its arrival the lease would let the key work on for as long again.
-  it('counts from when the question was sent', () => {
+  // The reply to a request took four seconds, and a key was revoked meanwhile. If the lease counted from
+  // the arrival of the reply, the key would go on working for as long again.
+  it('counts the lease from when the request was sent', () => {
     const state = receiveNewestIndex(HELD, 5, at(1_000));
     assert.equal(isFresh(state, at(1_000 + LEASE_MS - 1), LEASE_MS), true);
     assert.equal(isFresh(state, at(1_000 + LEASE_MS), LEASE_MS), false);
   });
 
-  // The leader names a configuration that is still on its way here. Until it has come, what is held
-  // may lack the withdrawal of a key, so the answer proves nothing yet.
-  it('waits for the configuration that was named', () => {
+  // The leader names a configuration that has not arrived yet. Until it does, the configuration held may
+  // lack the revocation of a key, so the reply proves nothing yet.
+  it('waits for the configuration that the reply names', () => {
     const afterReply = receiveNewestIndex(HELD, 6, at(1_000));
     assert.equal(isFresh(afterReply, at(1_100), LEASE_MS), false);
     assert.equal(isFresh(receiveConfig(afterReply, 6), at(1_100), LEASE_MS), true);
   });
 
-  // The host is suspended for ten seconds: its steady clock stands still, the time of day goes on. By
-  // the steady clock the lease still runs, and a key withdrawn meanwhile would work.
-  it('ends when the host was suspended', () => {
+  // The host is suspended for ten seconds: its monotonic clock stops while the time of day goes on. By the
+  // monotonic clock the lease is still valid, and a key revoked meanwhile would work.
+  it('ends the lease when the host was suspended', () => {
     const state = receiveNewestIndex(HELD, 5, at(1_000));
     assert.equal(isFresh(state, { monotonic: 1_100, wall: 1_011_100 }, LEASE_MS), false);
   });
 
-  // The time of day is set back while the host is suspended: each hides a part of the other. Whatever
-  // the two clocks disagree on, the lease is asked for again.
-  it('ends when the time of day was set', () => {
+  // The time of day is set back while the host is suspended, so that each change hides a part of the
+  // other. Whenever the two clocks disagree, the lease has to be requested again.
+  it('ends the lease when the time of day was set', () => {
     const state = receiveNewestIndex(HELD, 5, at(1_000));
     assert.equal(isFresh(state, { monotonic: 1_100, wall: 998_700 }, LEASE_MS), false);
     assert.equal(isFresh(state, { monotonic: 1_100, wall: 1_001_300 }, LEASE_MS), true);
   });
 
-  it('is not taken back by an answer that comes late', () => {
+  it('is not shortened by a late reply to an earlier request', () => {
     const newer = receiveNewestIndex(HELD, 5, at(3_000));
     const state = receiveNewestIndex(newer, 5, at(1_000));
     assert.equal(isFresh(state, at(3_000 + LEASE_MS - 1), LEASE_MS), true);
--- a/src/coordination/__tests__/unit/Consensus.test.ts
+++ b/src/coordination/__tests__/unit/Consensus.test.ts
@@ -7,7 +7,7 @@
 const IDS = ['a', 'b', 'c', 'd'] as const;
 const MEMBERS: ConsensusMembers = { voters: ['a', 'b', 'c'], learners: ['d'] };
 
-/** Part of the time to a first answer after a power loss, 0.8 s, that an election may take, ms. */
+/** Share of an election in the 0.8 s until a first answer after a power loss, ms. */
 const MAX_WAIT_MS = 500;
 
 type Action = readonly [kind: number, at: number];
@@ -38,10 +38,10 @@
 ];
 
 describe('stepConsensus', () => {
-  // Messages are lost, doubled and late; replicas restart from their disks, compact, and change
+  // Messages are lost, duplicated and delayed; replicas restart from their disks, compact, and change
   // voters. In no order of these may a term have two leaders or an index two committed entries, and
-  // afterwards the cluster must accept again.
-  it('keeps its promises under random schedules', () => {
+  // afterwards the cluster must accept commands again.
+  it('never has two leaders in a term or two entries at an index under random schedules', () => {
     const action = fc.tuple(fc.nat(ACTIONS.length - 1), fc.nat(1_000));
     fc.assert(
       fc.property(fc.array(action, { minLength: 50, maxLength: 400 }), (actions) => {
@@ -59,9 +59,9 @@
     );
   });
 
-  // The leader is cut off and still believes that it leads. It must refuse what callers propose
-  // once it has been out of touch, and its reads must never be answered.
-  it('steps down and refuses when out of touch with a quorum', () => {
+  // The leader is partitioned and still believes that it leads. It must refuse proposals after the quorum
+  // timeout, and must never answer its reads.
+  it('steps down and refuses reads when it has lost contact with a quorum', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const id = cluster.leader?.id ?? '';
@@ -73,8 +73,9 @@
     assert.equal(cluster.state(id).role, 'follower');
   });
 
-  // A replica was cut off, and campaigned in vain. When it returns, a healthy leader must go on.
-  it('lets a replica that returns disturb nobody', () => {
+  // A replica was partitioned and its election attempts failed. When it returns, a healthy leader must
+  // stay leader.
+  it('keeps the leader when a partitioned replica returns', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const { id, term } = cluster.leader as ConsensusState;
@@ -93,8 +94,9 @@
     assert.deepEqual([cluster.leader?.id, cluster.leader?.term], [id, term]);
   });
 
-  // Guards against: after a power loss the hosts that are up wait out an election's time, and prove nothing to anyone.
-  it('elects a leader soon once a majority is back, hosts coming up one after the other', () => {
+  // Guards against waiting a full election timeout after a power loss, during which the hosts that are up
+  // can't prove their configuration.
+  it('elects a leader soon after a power loss once a majority of hosts has started, one after the other', () => {
     const voters = ['a', 'b', 'c', 'd', 'e'];
     const waits = [0, 40, 90, 150, 230, 340, 480].map((gapMs) => {
       const cluster = new ConsensusCluster({ voters, learners: [] });
@@ -113,7 +115,7 @@
     assert.ok(Math.max(...waits) < MAX_WAIT_MS, waits.join(', '));
   });
 
-  it('brings a replica far behind up by a snapshot', () => {
+  it('brings a replica that is far behind up to date with a snapshot', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
     const { id } = cluster.leader as ConsensusState;
--- a/src/coordination/__tests__/unit/ConsensusVoters.test.ts
+++ b/src/coordination/__tests__/unit/ConsensusVoters.test.ts
@@ -7,10 +7,10 @@
 const MEMBERS = { voters: ['a.1', 'b.1', 'c.1'], learners: [] };
 const FIVE_MEMBERS = { voters: ['a.1', 'b.1', 'c.1', 'd.1', 'e.1'], learners: [] };
 
-/** How often a leader looks after its voters, ms. */
+/** Interval at which a leader checks its voters, ms. */
 const VOTER_CHECK_INTERVAL_MS = 100;
 
-/** A leader's view, with as many losses borne as the hosts that founded the cluster allow. */
+/** A leader's view, in which as many disks may be lost as the initial number of voters allows. */
 function viewOf(cluster: ConsensusCluster, leader: string): VoterView {
   return {
     now: cluster.now,
@@ -19,7 +19,7 @@
   };
 }
 
-/** Lets time pass; the leader takes hosts that aren't members in, and looks after its voters. */
+/** Advances the clock; the leader adds new hosts as learners and checks its voters. */
 function run(cluster: ConsensusCluster, ms: number): void {
   const until = cluster.now + ms;
   while (cluster.now < until) {
@@ -46,7 +46,7 @@
   cluster.runUntil(() => [...cluster.committed.values()].some((text) => text.includes(command)));
 }
 
-/** All hosts lose power at once, and one of them its disk. */
+/** All hosts lose power at once, and one of them loses its disk. */
 function loseDiskInPowerLoss(cluster: ConsensusCluster, lost: string, successor: string): void {
   cluster.dropAll();
   cluster.remove(lost);
@@ -54,7 +54,7 @@
   cluster.add(successor);
 }
 
-/** All lose power, the leader its disk; what is left must accept again. */
+/** All hosts lose power and the leader loses its disk; the others must accept commands again. */
 function recoverWithoutLeader(cluster: ConsensusCluster, command: string): void {
   const lost = cluster.leader?.id ?? '';
   loseDiskInPowerLoss(cluster, lost, `${lost.slice(0, 1)}.2`);
@@ -64,7 +64,7 @@
 
 type Loss = 'behind' | 'replaced' | 'wiped' | 'dark';
 
-/** All orders of some items. */
+/** All permutations of some items. */
 function permutationsOf<T>(items: readonly T[]): readonly (readonly T[])[] {
   return items.length === 0
     ? [[]]
@@ -73,7 +73,10 @@
       );
 }
 
-/** Four losses, five seconds apart; a host that is cut off stays so until five seconds into the next loss. */
+/**
+ * Four losses, five seconds apart. A host that is partitioned stays so until five seconds after the next
+ * loss.
+ */
 function runLosses(losses: readonly Loss[], hitsLeader: readonly boolean[]): void {
   const cluster = new ConsensusCluster(MEMBERS);
   let isCut = false;
@@ -125,7 +128,7 @@
   readonly killed: { readonly at: number; readonly afterMs: number } | null;
 }
 
-/** Losses with time between them for the next to be borne; nothing accepted may be lost. */
+/** Losses with enough time between them to recover; no accepted command may be lost. */
 function runSpacedLosses(losses: readonly SpacedLoss[]): void {
   const cluster = new ConsensusCluster(MEMBERS);
   losses.forEach(({ kind, at, afterMs, killed }, n) => {
@@ -158,11 +161,11 @@
 }
 
 describe('nextVoterChange', () => {
-  // One host is behind, one is replaced, one loses its disk, and all lose power with one more disk: a day on
-  // which nothing was accepted any more had them in one order. In all orders, at the leader or another, what
-  // was accepted stays, and more is accepted.
+  // One host is behind, one is replaced, one loses its disk, and all lose power with one more disk lost.
+  // One order of these once ended with nothing being accepted any more. In all orders, at the leader or at
+  // another host, accepted commands must stay and further ones be accepted.
   permutationsOf<Loss>(['behind', 'replaced', 'wiped', 'dark']).forEach((losses) => {
-    it(`accepts again after ${losses.join(', ')}`, () => {
+    it(`accepts commands again after these losses: ${losses.join(', ')}`, () => {
       for (let hits = 0; hits < 16; hits += 1) {
         runLosses(
           losses,
@@ -172,10 +175,10 @@
     });
   });
 
-  // The operator gets no answer any more, and callers are refused for good. A host is replaced by an
-  // empty one, which is taken in at once, while the one that is gone still counts; seven seconds later
-  // another loses its disk as all lose power. Two of four voters are left, and no leader is elected.
-  it('accepts again after a host was replaced and another has lost its disk', () => {
+  // A host is replaced by an empty one, which is added at once while the lost host is still a voter. Seven
+  // seconds later another host loses its disk as all lose power. With two of four voters left, no leader
+  // is elected, the operator gets no answers and callers are refused for good.
+  it('accepts commands again after a host was replaced and another has lost its disk', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     commitCommand(cluster, 'first');
     const gone = cluster.leader?.id ?? '';
@@ -187,13 +190,13 @@
     assert.equal(cluster.leader?.members.voters.length, 3);
   });
 
-  // After a power loss the operator can read no configuration, and callers are refused until an operator
-  // steps in. The leader's host had been replaced by an empty one; a second later the new leader's process
-  // was killed and came back. Each leader counted the time that the gone host was silent from its own
-  // election, so that it was still one of four voters when another disk was lost: two of four are no quorum.
-  // A successor was the host that accepted last, and with logs the same kind of day shows four voters
-  // between the successor's promotion and the first silence of 3 s that one leader saw.
-  it('accepts again though leaders changed between the replacement and the next lost disk', () => {
+  // The leader's host is replaced by an empty one; a second later the new leader's process is killed and
+  // restarts. Each leader counted how long the lost host was unreachable from its own election, so that it
+  // was still one of four voters when another disk was lost in a power loss: two of four are no quorum,
+  // the operator can read no configuration, and callers are refused until an operator intervenes. The
+  // successor was the host that accepted last; the logs of such a run show four voters from its promotion
+  // until a single leader had seen the lost host unreachable for 3 s.
+  it('accepts commands again if the leader changes between the replacement and the next lost disk', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     commitCommand(cluster, 'first');
     cluster.remove(cluster.leader?.id ?? '');
@@ -208,10 +211,11 @@
     assert.equal(cluster.leader?.members.voters.length, 3);
   });
 
-  // The same end with more hosts. Five hosts bear the loss of two disks. Two are replaced within a second
-  // and their successors are promoted before the two count as silent: seven voters, an odd number, of which
-  // two are gone for good. Two more disks are lost in the dark, and three of seven elect no leader.
-  it('accepts again after two of five hosts were replaced and two have lost their disks', () => {
+  // As above with five hosts, which tolerate the loss of two disks. Two are replaced within a second and
+  // their successors are promoted before the two count as unreachable: seven voters, an odd number, of
+  // which two are lost for good. Two more disks are lost in a power loss, and three of seven elect no
+  // leader.
+  it('accepts commands again after two of five hosts were replaced and two have lost their disks', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
     commitCommand(cluster, 'first');
     const gone = cluster.ids.filter((id) => id !== cluster.leader?.id).slice(0, 2);
@@ -229,10 +233,11 @@
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
-  // Nothing is accepted any more though all hosts are back. One of five is cut off while another's disk is lost and
-  // it comes back empty; the one that was cut off was dropped to make room for it, and when a second disk was
-  // lost, two of four voters were left, and the third host with all that was accepted had no vote.
-  it('keeps the vote of a host that is cut off while two others lose their disks', () => {
+  // One of five hosts is partitioned while another loses its disk and returns empty. The partitioned host
+  // was removed to make room for it; after a second lost disk two of four voters were left, and the third
+  // host with all accepted commands had no vote. Nothing was accepted any more although all hosts were
+  // back.
+  it('keeps the vote of a host that is partitioned while two others lose their disks', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
     commitCommand(cluster, 'first');
     const [cutOff = '', wiped = '', next = ''] = cluster.ids.filter(
@@ -254,10 +259,10 @@
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
-  // A change that was accepted is gone after two disks are lost, which five hosts bear. Two hosts were silent
-  // while a newcomer had caught up: both were dropped before it was promoted, and what the three that were
-  // left accepted stood on two disks.
-  it('keeps quorums of three of five hosts, whoever is silent when newcomers come', () => {
+  // Two of five hosts were unreachable while a newcomer had caught up. Both were removed before it was
+  // promoted, and what the remaining three accepted was on only two disks; an accepted change was lost
+  // with two disks, a loss that five hosts tolerate.
+  it('keeps quorums of three of five hosts, whichever are unreachable when newcomers are added', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
     commitCommand(cluster, 'first');
     const gone = cluster.ids.filter((id) => id !== cluster.leader?.id).slice(0, 2);
@@ -273,9 +278,9 @@
     assert.equal(cluster.leader?.members.voters.includes('f.1'), true);
   });
 
-  // Hosts are replaced, lose their disks or are silent for a while, one after the other, with time
-  // between the losses for the next to be borne. Whatever was accepted stays, and more is accepted.
-  it('bears one loss after the other', () => {
+  // Hosts are replaced, lose their disks or restart, one after the other, with enough time between the
+  // losses to recover. Accepted commands must stay, and further ones be accepted.
+  it('tolerates one loss after the other', () => {
     fc.assert(
       fc.property(fc.array(fc.record(LOSS), { minLength: 1, maxLength: 6 }), (losses) => {
         runSpacedLosses(losses.map((loss) => ({ ...loss, killed: null })));
@@ -284,8 +289,8 @@
     );
   });
 
-  // The same, with a process killed beside each loss; it comes back at once, which loses nothing.
-  it('bears one loss after the other beside kills', () => {
+  // As above, with a process killed beside each loss; it restarts at once, and no data is lost with it.
+  it('tolerates one loss after the other while processes are killed', () => {
     const killed = fc.record({ at: fc.nat(2), afterMs: fc.integer({ min: 100, max: 2_000 }) });
     fc.assert(
       fc.property(
@@ -296,7 +301,7 @@
     );
   });
 
-  it('keeps three voters though one is silent, and drops one of four', () => {
+  it('keeps three voters though one is unreachable, and removes one of four', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     commitCommand(cluster, 'first');
     const [silent = ''] = cluster.ids.filter((id) => id !== cluster.leader?.id);
--- a/src/coordination/__tests__/unit/EndpointCrashes.test.ts
+++ b/src/coordination/__tests__/unit/EndpointCrashes.test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-/** Plays inputs, each with its time in ms; what came out, a request by its id. */
+/** Applies inputs at their times in ms; returns the outputs, with requests by their ids. */
 function play(...inputs: readonly (readonly [number, EndpointCrashesInput])[]): readonly string[] {
   let state = NO_ENDPOINT_CRASHES;
   return inputs.flatMap(([now, input]) => {
@@ -61,8 +61,8 @@
   status: 'serving',
 };
 
-describe('ends of endpoints', () => {
-  it('are held against all that was in progress there, once it is known', () => {
+describe('stepEndpointCrashes', () => {
+  it('reports all requests in progress once a crash is known', () => {
     assert.deepEqual(play([0, lost('a')], [1, lost('b')], [3, REFUSED]), ['probe', 'refused: a b']);
     assert.deepEqual(play([0, lost('a')], [9, UNKNOWN], [3_000, CRASHED]), [
       'probe',
@@ -70,7 +70,7 @@
     ]);
   });
 
-  it('are known for what is noticed later', () => {
+  it('reports losses that are noticed after the crash is known', () => {
     assert.deepEqual(play([0, lost('a')], [3, REFUSED], [900, lost('b')]), [
       'probe',
       'refused: a',
@@ -78,12 +78,12 @@
     ]);
   });
 
-  // One rank of a group ends; the others drop their work and go on. What they dropped must not count.
-  it('are not seen where the endpoint still listens', () => {
+  // One rank of a group crashes; the others drop their work and go on. What they dropped must not count.
+  it('reports nothing if the endpoint still listens', () => {
     assert.deepEqual(play([0, lost('a')], [3, OPEN], [2_000, CRASHED]), ['probe']);
   });
 
-  it('are looked for again where a request was lost while the probe ran', () => {
+  it('probes again if a request was lost while the probe ran', () => {
     assert.deepEqual(play([0, lost('a')], [2, lost('b')], [3, OPEN], [6, REFUSED]), [
       'probe',
       'probe',
@@ -91,7 +91,7 @@
     ]);
   });
 
-  it('that are reported long after the loss have nothing to do with it', () => {
+  it('does not attribute a loss to a crash that is reported long after it', () => {
     const late = PENDING_LOSS_MS + 1;
     assert.deepEqual(
       play([0, lost('a')], [9, UNKNOWN], [late, { type: 'tick' }], [late, CRASHED]),
@@ -99,13 +99,13 @@
     );
   });
 
-  it('are proven by a lease that ran out, a later life or another endpoint at the address', () => {
+  it('takes an expired lease, a later incarnation or another endpoint at the address as proof of a crash', () => {
     assert.ok(provesCrash(RECORD, { ...RECORD, status: 'gone' }));
     assert.ok(provesCrash(RECORD, { ...RECORD, incarnation: 8, version: 0 }));
     assert.ok(provesCrash(RECORD, { ...RECORD, id: 'i-2', incarnation: 1 }));
   });
 
-  it('are not proven by a farewell, a change or late news of an earlier life', () => {
+  it('takes no shutdown, changed record or late update of an earlier incarnation as proof of a crash', () => {
     assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'gone', version: 4 }));
     assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'leaving', version: 4 }));
     assert.ok(!provesCrash(RECORD, { ...RECORD, status: 'gone', incarnation: 6 }));
--- a/src/coordination/__tests__/unit/Lease.test.ts
+++ b/src/coordination/__tests__/unit/Lease.test.ts
@@ -19,7 +19,7 @@
   renewals: 0,
 });
 
-/** Runs inputs at their times. */
+/** Applies inputs at their times; returns the last state. */
 function run(inputs: readonly (readonly [number, LeaseInput])[]): LeaseView {
   return inputs.reduce(
     (state, [now, input]) => stepLease(state, input, now).state,
@@ -28,9 +28,9 @@
 }
 
 describe('stepLease', () => {
-  // The answer that grants the lease is under way for five seconds. Counted from its arrival the
-  // lease would outlast what the log's side counts, and a rival could be granted it meanwhile.
-  it('counts a lease from when it was asked for', () => {
+  // The reply that grants the lease takes five seconds. If the lease counted from its arrival, it would
+  // last longer than the leader of the log assumes, and a rival could be granted it meanwhile.
+  it('counts a lease from when it was requested', () => {
     const state = run([
       [0, { type: 'tick' }],
       [5_000, granted(1)],
@@ -39,9 +39,9 @@
     assert.equal(mayCoordinate(state, LEASE_MS), false);
   });
 
-  // The holder is frozen for ten seconds. When it wakes it must not act on its lease before it has
-  // asked again, whatever it was about to do.
-  it('has no lease after a freeze', () => {
+  // The holder is frozen for ten seconds. Afterwards it must not use its lease before it has requested it
+  // again.
+  it('has no lease after it was frozen', () => {
     const held = run([
       [0, { type: 'tick' }],
       [10, granted(1)],
@@ -54,7 +54,7 @@
     );
   });
 
-  it('gives up at once when another holds the lease', () => {
+  it('gives up its lease at once when another process holds it', () => {
     const held = run([
       [0, { type: 'tick' }],
       [10, granted(1)],
@@ -69,15 +69,15 @@
   const held = { holder: 'a', token: 4, renewals: 0 };
   const maxLeaseMs = LEASE_MS + LEASE_CLOCK_MARGIN_MS;
 
-  // The leader dies; its successor never heard of the holder's renewals. It must wait as long as
-  // the newest of them could run before a rival gets the lease.
-  it('waits out a lease whose renewals a predecessor knew', () => {
+  // The leader crashes, and its successor has not received the holder's renewals. It must wait for as long
+  // as the latest of them could be valid before a rival gets the lease.
+  it('waits until a lease has expired whose renewals only the previous leader knew', () => {
     const keeper = initLeaseRenewals(1_000);
     assert.equal(mayGrant(keeper, 'g', held, 1_000 + maxLeaseMs), false);
     assert.equal(mayGrant(keeper, 'g', held, 1_001 + maxLeaseMs), true);
   });
 
-  it('waits from the last renewal, and forgets those of an older token', () => {
+  it('waits from the last renewal, and ignores those of an older token', () => {
     const keeper = recordRenewal(initLeaseRenewals(0), 'g', 4, 50_000);
     assert.equal(mayGrant(keeper, 'g', held, 50_000 + maxLeaseMs), false);
     assert.equal(mayGrant(keeper, 'g', { ...held, token: 5 }, 50_000), true);
--- a/src/coordination/__tests__/unit/LeaseHolder.test.ts
+++ b/src/coordination/__tests__/unit/LeaseHolder.test.ts
@@ -16,16 +16,16 @@
 const HOLDER = holderName(RECORD);
 
 describe('hasHolderEnded', () => {
-  // Guards against: a group stands, held by a coordinator that was killed, until its lease has run out.
-  it('takes a later life, or the word of its host, for the end of a life', () => {
+  // Guards against a group that stays held by a coordinator that was killed, until the lease has expired.
+  it('takes a later incarnation, or a report of its host, as proof that the holder has terminated', () => {
     const later: MemberRecord = { ...RECORD, incarnation: 21 };
     const ended: MemberRecord = { ...RECORD, status: 'gone', ended: true };
     assert.ok(hasHolderTerminated(HOLDER, () => later));
     assert.ok(hasHolderTerminated(HOLDER, () => ended));
   });
 
-  // Guards against: two processes coordinate one group, since the first was cut off or stood still.
-  it('takes silence for no end, nor news of an earlier life', () => {
+  // Guards against two processes coordinating one group because the first was partitioned or frozen.
+  it('takes neither an unreachable process nor an update of an earlier incarnation as such proof', () => {
     const silent: MemberRecord = { ...RECORD, status: 'gone' };
     const earlier: MemberRecord = { ...RECORD, incarnation: 19, status: 'gone', ended: true };
     const records = [RECORD, silent, earlier, undefined];
--- a/src/coordination/__tests__/unit/Membership.test.ts
+++ b/src/coordination/__tests__/unit/Membership.test.ts
@@ -29,7 +29,7 @@
   status,
 });
 
-/** Runs inputs at their times. */
+/** Applies inputs at their times; returns the last state. */
 function run(inputs: readonly (readonly [number, MembershipInput])[]): MembershipState {
   return inputs.reduce(
     (state, [now, input]) => stepMembership(state, input, now).state,
@@ -43,7 +43,7 @@
 const hello = (record: MemberRecord): MembershipInput => ({ type: 'hello', record });
 
 describe('stepMembership', () => {
-  it('declares a member gone once its lease has run out, and not before', () => {
+  it('declares a member gone once its lease has expired, and not before', () => {
     const heard: MembershipInput = { type: 'heard', ids: ['a'] };
     const inputs = [
       [0, hello(member('a'))],
@@ -54,9 +54,9 @@
     assert.equal(statusOf(run([...inputs, [late + 1, { type: 'tick' }]]), 'a'), 'gone');
   });
 
-  // A member moved to another control process, which told us; the old one then finds its lease
-  // expired and declares the version it knew gone. The member must stay in the directory.
-  it('lets a member refute that it is gone by a higher version', () => {
+  // A member moved to another control process, which reported it here; then its lease expires at the old
+  // one, which declares the version that it knew gone. The member must stay in the directory.
+  it('keeps a member that has a higher version than the one declared gone', () => {
     const gone: MembershipInput = { type: 'peer', from: 'c2', records: [member('a', 1, 'gone')] };
     const moved: MembershipInput = { type: 'peer', from: 'c3', records: [member('a', 2)] };
     assert.equal(
@@ -93,9 +93,9 @@
     );
   });
 
-  // The host's clock went back between two starts. The new life would lose every merge against the
-  // old one's records; it is told the least incarnation that wins.
-  it('tells a member of a lower incarnation which one would win', () => {
+  // The host's clock was set back between two starts. The new incarnation would lose every merge against
+  // the records of the old one, so the reply names the lowest incarnation that wins.
+  it('replies to a member with a lower incarnation which one would win', () => {
     const state = run([[0, hello(member('a', 3, 'serving', 9))]]);
     const { outputs } = stepMembership(state, hello(member('a', 1, 'serving', 7)), 1);
     assert.deepEqual(outputs, [
@@ -103,9 +103,9 @@
     ]);
   });
 
-  // A control process was cut off while one of its members left. Its list, sent when the link to it
-  // is new, lacks that member: what it no longer vouches for is gone, unless it moved elsewhere.
-  it('drops what a peer no longer lists, but not what moved elsewhere', () => {
+  // A control process was partitioned while one of its members left. Its list, sent when the link to it is
+  // new, lacks that member; a member that it no longer lists is gone unless it has moved elsewhere.
+  it('declares members gone that a peer no longer lists, but not those that moved elsewhere', () => {
     const full = (from: string, records: readonly MemberRecord[]): MembershipInput => ({
       type: 'peerFull',
       from,
@@ -122,7 +122,7 @@
     );
   });
 
-  it('buries a member that is gone after longer than any message is late', () => {
+  it('drops a gone member only after every late message has arrived', () => {
     const gone: MembershipInput = { type: 'announce', record: member('a', 2, 'gone') };
     const inputs = [
       [0, hello(member('a'))],
@@ -135,9 +135,10 @@
 });
 
 describe('mergeDelta', () => {
-  // A control process restarts empty; an entry process attaches to it before the endpoints do. Its
-  // list lacks them all, though they serve: calls must go on until they have attached again.
-  it('keeps what a full list lacks for a grace', () => {
+  // A control process restarts with an empty list, and an entry process attaches to it before the
+  // endpoints do. The list lacks endpoints that serve, and calls must continue until they have attached
+  // again.
+  it('keeps members that a full list lacks for a grace period', () => {
     const known = mergeDelta(new Map(), { full: true, records: [member('a'), member('b')] }, 0);
     const restarted = mergeDelta(known, { full: true, records: [member('a', 2)] }, 100);
     assert.equal(servingMembers(pruneView(restarted, 100 + MISSING_GRACE_MS)).length, 2);
--- a/src/coordination/__tests__/unit/Quarantine.test.ts
+++ b/src/coordination/__tests__/unit/Quarantine.test.ts
@@ -23,7 +23,7 @@
   return { digest, customer, request: `r-${digest}` };
 }
 
-/** Holds ends, each of a life with a request in progress. */
+/** Records crashes, each of an incarnation with one request in progress. */
 function withCrashes(...ends: readonly (readonly [string, string])[]): QuarantineState {
   return ends.reduce(
     (state, [life, digest]) => recordSuspects(state, life, [lost(digest)], 0).state,
@@ -36,12 +36,12 @@
   return suspect === undefined ? 0 : crashCount(suspect);
 }
 
-/** What another process is told of a whole set. */
+/** Records of all suspects as another process receives them. */
 function allRecordsOf(state: QuarantineState, now = 0) {
   return toQuarantineUpdates(state, [...state.values()], now).flatMap(({ records }) => records);
 }
 
-/** One thing that a process learns by itself, or a message that it is sent by another: its whole set. */
+/** An event at a process: a crash, a clearing, or all of its suspects sent to another process. */
 type Event =
   | { readonly kind: 'end'; readonly at: number; readonly life: string; readonly digest: string }
   | { readonly kind: 'clear'; readonly at: number; readonly digest: string }
@@ -59,7 +59,7 @@
   fc.record({ kind: fc.constant('tell' as const), at, to: at }),
 );
 
-/** Plays events at some processes; their sets in the end. */
+/** Applies events at some processes; returns their final states. */
 function playEvents(events: readonly Event[]): readonly QuarantineState[] {
   const states: QuarantineState[] = Array.from({ length: PROCESSES }, () => EMPTY_QUARANTINE);
   events.forEach((event) => {
@@ -79,7 +79,7 @@
   return states;
 }
 
-/** Has processes tell each other their whole sets, in an order. */
+/** Merges the states of all processes into each of them, in an order. */
 function exchangeAll(
   states: readonly QuarantineState[],
   order: readonly number[],
@@ -93,15 +93,15 @@
   );
 }
 
-describe('requests that ends of endpoints are held against', () => {
-  it('count each life once, whoever reports it and however often', () => {
+describe('Quarantine', () => {
+  it('counts the crash of an incarnation once, whoever reports it and however often', () => {
     const state = withCrashes(['i-1', 'a'], ['i-1', 'a'], ['i-2', 'a'], ['i-1', 'a'], ['i-3', 'b']);
     assert.equal(crashesOf(state, 'a'), 2);
     assert.equal(crashesOf(state, 'b'), 1);
     assert.equal(mergeSuspectRecords(state, allRecordsOf(state), 0).changed.length, 0);
   });
 
-  it('are let go by a whole answer, and not suspected anew by late reports', () => {
+  it('clears a request after a complete answer, and ignores late reports of earlier crashes', () => {
     const cleared = clearSuspect(withCrashes(['i-1', 'a'], ['i-2', 'a']), 'a').state;
     assert.equal(crashesOf(cleared, 'a'), 0);
     const late = recordSuspects(cleared, 'i-2', [lost('a')], 9).state;
@@ -109,7 +109,7 @@
     assert.equal(crashesOf(recordSuspects(late, 'i-3', [lost('a')], 9).state, 'a'), 1);
   });
 
-  it('are forgotten after their time, which no news makes longer', () => {
+  it('drops suspects after their retention time, which updates do not extend', () => {
     const state = withCrashes(['i-1', 'a']);
     const received = mergeSuspectRecords(
       EMPTY_QUARANTINE,
@@ -127,9 +127,9 @@
     assert.equal(dropExpiredSuspects(again, 10).size, 0);
   });
 
-  // A customer sends a thousand different requests that end endpoints. What others are suspected of, and what is
-  // about to be held, must not be pushed out.
-  it('of one customer push out none of another', () => {
+  // A customer sends a thousand different requests that crash endpoints. Suspects of other customers, and
+  // those close to quarantine, must not be dropped for them.
+  it('drops no suspect of another customer for those of one customer', () => {
     const many = Array.from({ length: 1_000 }, (_item, i) => lost(`m${i}`, 'loud'));
     const first = withCrashes(['i-1', 'quiet'], ['i-2', 'quiet']);
     const { state } = recordSuspects(first, 'i-3', many, 0);
@@ -139,7 +139,7 @@
     assert.equal(recordSuspects(state, 'i-4', customers, 0).state.size, MAX_SUSPECTS);
   });
 
-  it('are told in messages of a bounded size', () => {
+  it('sends suspects in messages of a bounded size', () => {
     const many = Array.from({ length: 200 }, (_item, i) => lost(`m${i}`, `c${i}`));
     const { state } = recordSuspects(EMPTY_QUARANTINE, 'i-1', many, 0);
     const messages = toQuarantineUpdates(state, [...state.values()], 0);
@@ -150,7 +150,7 @@
     assert.ok(messages.every(({ hash }) => hash === hashQuarantine(state)));
   });
 
-  it('are the same everywhere once all have told all, in whatever order and however often', () => {
+  it('gives all processes the same state once each has received all updates, in any order and any number of times', () => {
     const order = fc.array(at, { maxLength: 6 });
     fc.assert(
       fc.property(fc.array(eventArb, { maxLength: 30 }), order, order, (events, one, other) => {
@@ -164,7 +164,7 @@
     );
   });
 
-  it('never have fewer ends held by news than all processes together have seen uncleared', () => {
+  it('counts all crashes that the processes have seen, and with clearings no more', () => {
     fc.assert(
       fc.property(fc.array(eventArb, { maxLength: 30 }), (events) => {
         const seen = events.flatMap((e) => (e.kind === 'end' ? [`${e.digest} ${e.life}`] : []));
@@ -178,7 +178,7 @@
   });
 });
 
-describe('requests that were answered whole a short while ago', () => {
+describe('RecentAnswers', () => {
   const ask = (path: string, bytes = 0) => ({
     customer: 'kano',
     method: 'GET',
@@ -187,14 +187,14 @@
     body: Buffer.alloc(bytes),
   });
 
-  it('are known for a while', () => {
+  it('remembers an answered request for a limited time', () => {
     const answers = rememberAnswer([], ask('/a'), 0);
     assert.ok(wasRecentlyAnswered(answers, ask('/a'), 29_999));
     assert.ok(!wasRecentlyAnswered(answers, ask('/a'), 30_000));
     assert.ok(!wasRecentlyAnswered(answers, ask('/b'), 0));
   });
 
-  it('are remembered within bounds of number and bytes', () => {
+  it('limits the number and bytes of remembered requests', () => {
     const remember = (bytes: number): RecentAnswers =>
       Array.from({ length: 100 }, (_item, i) => i).reduce<RecentAnswers>(
         (answers, i) => rememberAnswer(answers, ask(`/${i}`, bytes), i),
--- a/src/coordination/__tests__/unit/Rollout.test.ts
+++ b/src/coordination/__tests__/unit/Rollout.test.ts
@@ -45,7 +45,7 @@
   readonly outputs: readonly RolloutOutput[];
 }
 
-/** Runs inputs in turn; outputs are those of the last one. */
+/** Applies inputs one after the other; outputs are those of the last one. */
 function run(inputs: readonly RolloutInput[], now = 0): Run {
   return inputs.reduce<Run>(({ state }, input) => stepRollout(state, input, now), {
     state: initRollout(0),
@@ -61,9 +61,9 @@
   );
 
 describe('stepRollout', () => {
-  // A control process restarts after hundreds of changes. What is on its disk may be long out of
-  // date; a process that starts beside it must not be given that before a quorum has confirmed it.
-  it('serves nobody before its log is confirmed', () => {
+  // A control process restarts after hundreds of changes. The configuration on its disk may be long out of
+  // date; a process that starts beside it must not be sent that before a quorum has confirmed it.
+  it('serves no process before its log is confirmed', () => {
     const waiting = [config(7), subscribe(member('e1'))];
     assert.deepEqual(sent(run(waiting).outputs), []);
     assert.deepEqual(sent(run([...waiting, config(9), { type: 'confirmed' }]).outputs), [
@@ -72,9 +72,10 @@
     ]);
   });
 
-  // As above, but the AZ is cut off and no quorum answers. It waits for those attached to tell what
-  // they hold, and then serves what it has, so that the AZ goes on.
-  it('serves what it holds once it has waited in a cut-off AZ', () => {
+  // As above, but the availability zone is partitioned and no quorum replies. The control process waits
+  // for the attached processes to report what they hold, and then serves what it has, so that the
+  // availability zone goes on.
+  it('serves what it holds after the timeout in a partitioned availability zone', () => {
     const { state } = run([config(7), subscribe(member('e1'))]);
     assert.deepEqual(
       sent(stepRollout(state, { type: 'tick' }, CONFIRM_TIMEOUT_MS - 1).outputs),
@@ -86,10 +87,11 @@
     ]);
   });
 
-  // An entry process was attached to another AZ's control process when the cut came, and holds
-  // index 9; ours holds 7. A process that restarts now must wait for the newer one: found by the
-  // exhaustive check of spec/SpecRollout.ts, when the hub served on while it was still fetching.
-  it('fetches a newer configuration before it serves anyone on', () => {
+  // An entry process was attached to a control process in another availability zone when the partition
+  // began, and holds index 9; this control process holds 7. A process that restarts now must wait for the
+  // newer one. The exhaustive check in spec/SpecRollout.ts found that the control process went on serving
+  // while it was still fetching.
+  it('fetches a newer configuration before it serves any other process', () => {
     const ahead = [
       config(7),
       { type: 'confirmed' } as const,
@@ -108,7 +110,7 @@
     assert.deepEqual([state.config.index, outputs], [9, []]);
   });
 
-  it('sends deltas in an unbroken row, else a snapshot', () => {
+  it('sends deltas if they have no gap, else a snapshot', () => {
     const row = [delta(3, 5), delta(5, 8)];
     const at = (held: number) =>
       sent(run([config(8, row), { type: 'confirmed' }, subscribe(member('e1'), held)]).outputs);
@@ -118,7 +120,7 @@
     assert.deepEqual(at(8), []);
   });
 
-  it('sends an endpoint process its own service alone', () => {
+  it('sends an endpoint process only its own service', () => {
     const { outputs } = run([
       config(8),
       { type: 'confirmed' },
--- a/src/coordination/__tests__/utils/ConsensusCluster.ts
+++ b/src/coordination/__tests__/utils/ConsensusCluster.ts
@@ -19,7 +19,9 @@
   readonly message: ConsensusMessage;
 }
 
-/** Replicas over a network that loses, doubles and reorders, with disks that keep what is synced. */
+/**
+ * Replicas on a network that loses, duplicates and reorders messages, with disks that keep what was synced.
+ */
 export class ConsensusCluster {
   now = 0;
 
@@ -35,15 +37,15 @@
 
   readonly #states = new Map<string, ConsensusState>();
 
-  /** Replicas that reach no other. */
+  /** Replicas that are partitioned from all others. */
   readonly #isolated = new Set<string>();
 
-  /** When each replica's process began, and when it ended for good. */
+  /** Start time of each replica's process, and the time of its removal. */
   readonly #startedAt = new Map<string, number>();
 
   readonly #removedAt = new Map<string, number>();
 
-  /** How many voters there were at the start. */
+  /** Number of voters at the start. */
   readonly initialVoterCount: number;
 
   constructor(members: ConsensusMembers) {
@@ -51,19 +53,19 @@
     [...members.voters, ...members.learners].forEach((id) => this.add(id, members));
   }
 
-  /** Replicas that run. */
+  /** Ids of the running replicas. */
   get ids(): readonly string[] {
     return [...this.#states.keys()];
   }
 
-  /** Starts a replica with an empty disk, or with one that names the members of a first start. */
+  /** Starts a replica with an empty disk, or with one that has the members of a first start. */
   add(id: string, members: ConsensusMembers = { voters: [], learners: [] }): void {
     const snapshot = { index: 0, term: 0, members, image: [] };
     this.#disks.set(id, { hard: { term: 0, vote: null }, snapshot, log: [] });
     this.restart(id);
   }
 
-  /** Ends a replica for good, disk included. */
+  /** Removes a replica for good, including its disk. */
   remove(id: string): void {
     this.#removedAt.set(id, this.now);
     this.#states.delete(id);
@@ -79,7 +81,7 @@
     return reachable.map((id) => this.state(id)).find(({ role }) => role === 'leader');
   }
 
-  /** Cuts a replica off from all others, silently. */
+  /** Partitions a replica from all others, which are not notified. */
   isolate(id: string): void {
     this.#isolated.add(id);
   }
@@ -88,25 +90,27 @@
     return this.#isolated.has(id);
   }
 
-  /** Ends a replica's cut, and starts it from its disk. */
+  /** Ends the partition of a replica and restarts it from its disk. */
   reconnectAndRestart(id: string): void {
     this.#isolated.delete(id);
     this.restart(id);
   }
 
-  /** Ends all cuts. */
+  /** Ends all partitions. */
   heal(): void {
     this.#isolated.clear();
   }
 
-  /** Starts a replica from its disk: all else it knew is gone. */
+  /** Restarts a replica from its disk; everything else that it knew is lost. */
   restart(id: string): void {
     const recovery = this.#disks.get(id) as ConsensusRecovery;
     this.#startedAt.set(id, this.now);
     this.#states.set(id, initConsensus(id, recovery, { now: this.now, rng: this.#rng }));
   }
 
-  /** When one replica's process last heard another over the link between them; it forgets with its end. */
+  /**
+   * Time of one process's last contact with another replica over the link between them; a restart forgets it.
+   */
   heardAt(by: string, id: string): number {
     const isReachable = this.#states.has(id) && !this.#isolated.has(id) && !this.#isolated.has(by);
     const heard = isReachable ? this.now : (this.#removedAt.get(id) ?? 0);
@@ -130,7 +134,7 @@
     }
   }
 
-  /** Lets time pass at one replica. */
+  /** Advances the clock and ticks one replica. */
   tick(id: string, ms: number): void {
     this.now += ms;
     this.input(id, { type: 'tick' });
@@ -140,12 +144,12 @@
     this.packets = this.packets.filter((_packet, i) => i !== at % this.packets.length);
   }
 
-  /** Loses all that is on its way. */
+  /** Drops all messages in flight. */
   dropAll(): void {
     this.packets = [];
   }
 
-  /** Runs on without faults until a condition holds. */
+  /** Runs without faults until a condition holds. */
   runUntil(done: () => boolean): void {
     for (let i = 0; i < 4_000 && !done(); i += 1) {
       this.now += 10;
@@ -159,7 +163,7 @@
         this.input(to, { type: 'message', from, message }),
       );
     }
-    assert.ok(done(), 'did not settle');
+    assert.ok(done(), 'the condition did not hold in time');
   }
 
   #perform(id: string, output: ConsensusOutput): void {
