--- a/src/coordination/Consensus.ts
+++ b/src/coordination/Consensus.ts
@@ -84,7 +84,7 @@
   };
 }
 
-/** Records contact with the leader of the current term, and becomes its follower if it is none. */
+/** Records contact with the leader of the current term; a replica in another role becomes its follower. */
 function followLeader(state: ConsensusState, from: string, ctx: ConsensusContext): ConsensusStep {
   const step: ConsensusStep =
     state.role === 'follower'
--- a/src/coordination/ConsensusVoters.ts
+++ b/src/coordination/ConsensusVoters.ts
@@ -16,8 +16,8 @@
 
 /**
  * A voter without contact to the leader for this long may be removed, ms. A replaced host has to be out of
- * the quorum by the time its successor must count, 4 s after the successor's start; hosts that are only
- * frozen or partitioned for longer return as learners and are voters again within a second.
+ * the quorum by the time at which its successor must count as a voter, 4 s after the successor's start; hosts
+ * that are only frozen or partitioned for longer return as learners and are voters again within a second.
  */
 export const UNREACHABLE_VOTER_MS = 3_000;
 
--- a/src/coordination/MembershipHub.ts
+++ b/src/coordination/MembershipHub.ts
@@ -1,7 +1,7 @@
 /**
  * Membership as a control process maintains it. Each entry and endpoint process is attached to one control
- * process, which renews its lease while the link is alive and informs the other control processes. Only
- * changes are sent, so the cost depends on joins and leaves and not on the number of members.
+ * process, which renews the member's lease while their link is alive and informs the other control processes.
+ * Only changes are sent, so the cost depends on joins and leaves and not on the number of members.
  */
 import type { HelloReply, MemberRecord } from '../protocol/index.js';
 import { mergeRecords, type Directory } from '../state/index.js';
@@ -19,7 +19,7 @@
   readonly attached: ReadonlyMap<string, number>;
   /** Id of the control process that reported a member. */
   readonly reportedBy: ReadonlyMap<string, string>;
-  /** Time at which members became known as gone, ms. */
+  /** Time at which members were found to be gone, ms. */
   readonly goneAt: ReadonlyMap<string, number>;
 }
 
@@ -129,7 +129,7 @@
  * with a lease of their own (`leaseMs`), which announce themselves by heartbeats.
  *
  * A control process that has restarted lists no endpoint whose next heartbeat is still to come. Without the
- * exception, a third of a service's endpoints is gone for a second after each restart. Such members are
+ * exception, a third of a service's endpoints would be gone for a second after each restart. Such members are
  * attached here instead, and their own lease decides.
  */
 function onPeerFull(
--- a/src/coordination/Quarantine.ts
+++ b/src/coordination/Quarantine.ts
@@ -27,14 +27,13 @@
 
 /**
  * Number of crashes after which a request is quarantined. The crash of one rank interrupts its whole group
- * for seconds; there two must suffice, since a third costs more callers than are ever refused because their
- * requests happened to be in progress at two crashes.
+ * for seconds; for a group two crashes must suffice, since a third costs more callers than are ever refused
+ * because their requests happened to be in progress at two crashes.
  */
 export const QUARANTINE_CRASHES = { group: 2, single: 3 } as const;
 
 /**
- * How long a suspect is kept after its last crash, ms. A new version of the endpoints may well run the
- * request.
+ * How long a suspect is kept after its last crash, ms. A new version of the endpoints may be able to run it.
  */
 export const SUSPECT_RETENTION_MS = 600_000;
 
--- a/src/coordination/__tests__/unit/ConfigFreshness.test.ts
+++ b/src/coordination/__tests__/unit/ConfigFreshness.test.ts
@@ -55,7 +55,7 @@
     assert.equal(isFresh(state, { monotonic: 1_100, wall: 1_001_300 }, LEASE_MS), true);
   });
 
-  it('is not shortened by a late reply to an earlier request', () => {
+  it('keeps the longer lease when the reply to an earlier request is late', () => {
     const newer = receiveNewestIndex(HELD, 5, at(3_000));
     const state = receiveNewestIndex(newer, 5, at(1_000));
     assert.equal(isFresh(state, at(3_000 + LEASE_MS - 1), LEASE_MS), true);
--- a/src/coordination/__tests__/unit/Consensus.test.ts
+++ b/src/coordination/__tests__/unit/Consensus.test.ts
@@ -7,7 +7,7 @@
 const IDS = ['a', 'b', 'c', 'd'] as const;
 const MEMBERS: ConsensusMembers = { voters: ['a', 'b', 'c'], learners: ['d'] };
 
-/** Share of an election in the 0.8 s until a first answer after a power loss, ms. */
+/** Longest election after a power loss, ms; part of the 0.8 s within which a first answer must come. */
 const MAX_WAIT_MS = 500;
 
 type Action = readonly [kind: number, at: number];
@@ -59,8 +59,8 @@
     );
   });
 
-  // The leader is partitioned and still believes that it leads. It must refuse proposals after the quorum
-  // timeout, and must never answer its reads.
+  // The leader is partitioned and still believes that it leads. After the quorum timeout it must refuse
+  // the requests of callers, and it must never complete its reads.
   it('steps down and refuses reads when it has lost contact with a quorum', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
--- a/src/coordination/__tests__/unit/LeaseHolder.test.ts
+++ b/src/coordination/__tests__/unit/LeaseHolder.test.ts
@@ -15,7 +15,7 @@
 
 const HOLDER = holderName(RECORD);
 
-describe('hasHolderEnded', () => {
+describe('hasHolderTerminated', () => {
   // Guards against a group that stays held by a coordinator that was killed, until the lease has expired.
   it('takes a later incarnation, or a report of its host, as proof that the holder has terminated', () => {
     const later: MemberRecord = { ...RECORD, incarnation: 21 };
--- a/src/coordination/__tests__/unit/Membership.test.ts
+++ b/src/coordination/__tests__/unit/Membership.test.ts
@@ -122,7 +122,7 @@
     );
   });
 
-  it('drops a gone member only after every late message has arrived', () => {
+  it('keeps the record of a gone member until no late message can arrive, then drops it', () => {
     const gone: MembershipInput = { type: 'announce', record: member('a', 2, 'gone') };
     const inputs = [
       [0, hello(member('a'))],
