--- a/src/coordination/Consensus.ts
+++ b/src/coordination/Consensus.ts
@@ -180,8 +180,8 @@
 };
 
 /**
- * Whether a message moves this replica to a newer term. Pre-vote messages must not: they carry a term that no
- * replica has entered yet.
+ * Whether a message moves this replica to a newer term. Pre-vote messages must not: the term that they ask
+ * for or grant has not been entered by any replica yet.
  */
 function hasNewerTerm(state: ConsensusState, message: ConsensusMessage): boolean {
   return message.term > state.term && message.type !== 'preVote' && message.type !== 'preVoteReply';
