--- a/src/daemon/DaemonAdmin.ts
+++ b/src/daemon/DaemonAdmin.ts
@@ -1,4 +1,4 @@
-/** The administration API: what the command-line tool and pipelines speak to. */
+/** The administration API, used by the command-line tool and by pipelines. */
 import type Koa from 'koa';
 import type { Context } from 'koa';
 import * as z from 'zod';
@@ -20,17 +20,17 @@
 import type { DaemonConsensus } from './DaemonConsensus.js';
 import type { DaemonHub } from './DaemonHub.js';
 
-/** What the API stands on. */
+/** Dependencies of the API. */
 export interface AdminOptions {
   readonly name: string;
   readonly consensus: DaemonConsensus;
   readonly hub: DaemonHub;
   readonly submit: (manifest: Manifest) => Promise<SubmitReply>;
-  /** What each control process tells of itself, this one first. */
+  /** Status of each control process that answers, this one first. */
   readonly controls: () => Promise<readonly ControlStatus[]>;
 }
 
-/** What a control process tells of itself. */
+/** Status that a control process reports about itself. */
 export interface ControlStatus {
   readonly name: string;
   readonly replica: string;
@@ -45,7 +45,7 @@
   readonly attached: readonly { readonly id: string; readonly appliedIndex: number }[];
 }
 
-/** Status of a control process. */
+/** Returns the status of this control process. */
 export function controlStatus(
   name: string,
   consensus: DaemonConsensus,
@@ -195,7 +195,7 @@
   return known;
 }
 
-/** Adds the administration API to an application. */
+/** Adds the administration API to an application. Findings about a manifest are answered with status 422. */
 export function addAdminApi(app: Koa, options: AdminOptions): void {
   app.use(async (ctx) => {
     const route = findRoute(`${ctx.method} ${ctx.path}`);
--- a/src/daemon/DaemonApp.ts
+++ b/src/daemon/DaemonApp.ts
@@ -1,12 +1,12 @@
-/** The HTTP application of a process: liveness, readiness, metrics, and answers to errors. */
+/** The HTTP application of a process: liveness, readiness, metrics and error responses. */
 import Koa, { type Context } from 'koa';
 import { RequestError } from '../protocol/index.js';
 import type { Runtime } from './DaemonRuntime.js';
 
-/** Reports whether the process is ready, and if not, why. */
+/** Reports whether the process is ready. `reason` is the body of `/readyz`. */
 export type ReadinessCheck = () => { readonly ready: boolean; readonly reason: string };
 
-/** Answers an error as JSON, with when to come back where that helps. */
+/** Responds with an error as JSON, and with `retry-after` if the error names a time. */
 export function sendError(ctx: Context, err: unknown, requestId?: string): void {
   const error =
     err instanceof RequestError ? err : new RequestError('endpoint_failed', (err as Error).message);
@@ -17,7 +17,7 @@
   ctx.body = error.toBody(requestId);
 }
 
-/** A koa application with liveness, readiness and metrics. */
+/** Creates a Koa application that serves `/livez`, `/readyz` and `/metrics`. */
 export function createApp(runtime: Runtime, isReady: ReadinessCheck): Koa {
   const handlers: Readonly<Record<string, (ctx: Context) => Promise<void> | void>> = {
     '/livez': (ctx) => {
--- a/src/daemon/DaemonCoalescedRead.ts
+++ b/src/daemon/DaemonCoalescedRead.ts
@@ -1,6 +1,6 @@
 /**
- * One read for many callers: those that ask while a read is under way share the next one. The answer
- * that a caller gets was asked for after the caller asked, which is what makes it proof of freshness.
+ * Coalesces the reads of many callers: those that call while a read is in progress share the next one. So the read
+ * whose result a caller gets always starts after its call, which proves that the result is fresh.
  */
 export class CoalescedRead<T> {
   readonly #read: () => Promise<T>;
@@ -13,7 +13,7 @@
     this.#read = read;
   }
 
-  /** Resolves with an answer that was asked for after this call. */
+  /** Resolves with the result of a read that starts after this call. */
   async read(): Promise<T> {
     if (this.#next === null) {
       const before = this.#running ?? Promise.resolve();
--- a/src/daemon/DaemonConsensus.ts
+++ b/src/daemon/DaemonConsensus.ts
@@ -1,6 +1,6 @@
 /**
- * Task that owns a control process's replica: its data folder, its log and the replicated state.
- * It reads a mailbox, one batch at a time, and syncs before it sends.
+ * Runs the consensus replica of a control process: owns its data folder, its log and the replicated state. Inputs are
+ * queued in a mailbox and processed in batches; messages are sent only after their batch is synced to disk.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
@@ -31,13 +31,13 @@
   type JournalRecord,
 } from './DaemonConsensusJournal.js';
 
-/** How long a proposal or read may take before its caller is told that it is open. In ms. */
+/** How long a proposal or read may be pending before its caller gets null, i.e. an unknown outcome, ms. */
 const REQUEST_TIMEOUT_MS = 2_500;
 
-/** How often a disk that refuses writes is tried again, ms. */
+/** Interval at which a write that the disk refused is retried, ms. */
 const DISK_RETRY_INTERVAL_MS = 150;
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonConsensus}. */
 export interface ConsensusTaskOptions {
   readonly folder: StateDataFolder;
   readonly compactEvery: number;
@@ -45,7 +45,7 @@
   readonly now: () => number;
   readonly rng: RandomGenerator;
   readonly send: (to: string, message: ConsensusMessage) => void;
-  /** Called after the replicated state has changed, or may have. */
+  /** Called after the replicated state has changed or may have changed. */
   readonly onStateChange: (state: ControlState) => void;
 }
 
@@ -65,21 +65,21 @@
   pending.delete(id);
 }
 
-/** Result of a proposal; `null` when it was refused, lost or not decided in time. */
+/** Result of a proposal; null if it was refused, was lost or was not decided in time. */
 export type ProposalResult = CommandResult | null;
 
-/** One replica. */
+/** A consensus replica. */
 export class DaemonConsensus {
   readonly #options: ConsensusTaskOptions;
 
   readonly #proposals = new Map() as PendingRequests<ProposalResult>;
 
-  /** Proposals in the log by index, with the term they were made in. */
+  /** Own proposals that are in the log but not applied yet, by index, with the term in which they were made. */
   readonly #proposalsByIndex = new Map<number, { readonly id: string; readonly term: number }>();
 
   readonly #reads = new Map() as PendingRequests<number | null>;
 
-  /** How each output is carried out, once all of its batch is synced. */
+  /** Handlers of the outputs by type, called once all of their batch is synced. */
   readonly #performers: Performers = {
     send: ({ to, message }) => this.#options.send(to, message),
     commit: ({ entries }) => {
@@ -98,7 +98,8 @@
       settle(this.#reads, id, null);
     },
     readReady: ({ id, index }) => settle(this.#reads, id, index),
-    role: ({ role, term }) => this.#options.log.info({ event: 'role', role, term }, 'new role'),
+    role: ({ role, term }) =>
+      this.#options.log.info({ event: 'role', role, term }, 'role of the replica changed'),
   };
 
   #state: ConsensusState;
@@ -118,7 +119,7 @@
     const { recovery, commit } = recoverJournal(options.folder.recovered);
     this.#control = (recovery.snapshot.image as ControlState | null) ?? EMPTY_CONTROL;
     this.#state = initConsensus(options.folder.identity.replica, recovery, this.#context());
-    // What was handed out before the restart was committed; it is applied again at once.
+    // Everything up to the recorded commit index was committed before the restart, so it is applied again at once.
     const committed = recovery.log.filter(({ index }) => index <= commit);
     this.#state = { ...this.#state, commit: Math.max(recovery.snapshot.index, commit) };
     this.#applyEntries(committed);
@@ -138,7 +139,7 @@
     return this.#state.members.voters.length > 0 || lastIndex(this.#state) > 0;
   }
 
-  /** Takes a message, a tick or a command; outputs follow once they are synced. */
+  /** Queues a message, a tick or a command; its outputs follow once they are synced. */
   post(input: ConsensusInput): void {
     this.#mailbox.push(input);
     if (!this.#isDraining && !this.#hasFailed) {
@@ -152,29 +153,37 @@
     }
   }
 
-  /** Proposes a command; resolves once it is applied here. */
+  /**
+   * Proposes a command; resolves with its result once it is applied here, or with null (see {@link ProposalResult}).
+   */
   async propose(command: ControlCommand): Promise<ProposalResult> {
     return this.#request(this.#proposals, (id) => ({ type: 'propose', id, command }));
   }
 
-  /** Proposes new members; resolves with `done` once committed. */
+  /** Proposes new members; resolves with result `done` once they are committed, or with null. */
   async changeMembers(members: ConsensusMembers): Promise<ProposalResult> {
     return this.#request(this.#proposals, (id) => ({ type: 'members', id, members }));
   }
 
-  /** Index that every acceptance before now is at or below; null if this isn't the leader. */
+  /**
+   * Resolves with an index at or above that of everything accepted before this call; with null if this replica is not
+   * the leader, or can't confirm that in time.
+   */
   async readIndex(): Promise<number | null> {
     return this.#request(this.#reads, (id) => ({ type: 'read', id }));
   }
 
-  /** Founds a cluster: this replica's snapshot of nothing names the voters. */
+  /** Founds a cluster by persisting an empty snapshot that names its voters. */
   async foundCluster(members: ConsensusMembers): Promise<void> {
     const snapshot = { index: 0, term: 0, members, image: EMPTY_CONTROL };
     await this.#options.folder.append([{ kind: 'snapshot', snapshot } satisfies JournalRecord]);
     this.#state = { ...this.#state, snapshot, members };
   }
 
-  /** Gives up on what has waited too long: the outcome is open, and a resend will tell. */
+  /**
+   * Resolves proposals and reads that have been pending too long with null: their outcome is unknown until the caller
+   * submits again.
+   */
   expire(): void {
     const now = this.#options.now();
     const expireIn = <T>(pending: PendingRequests<T | null>): void =>
@@ -187,7 +196,7 @@
     expireIn(this.#reads);
   }
 
-  /** What was found in the data folder, and whose votes an election needs. */
+  /** Logs what was found in the data folder, and the members, whose votes an election needs. */
   #logRecovered(): void {
     const { term, commit, members } = this.#state;
     this.#options.log.info(
@@ -225,7 +234,7 @@
       const inputs = this.#mailbox;
       this.#mailbox = [];
       const outputs = inputs.flatMap((input) => this.#step(input));
-      // One batch after another: the sync below is what the next batch's promises rest on.
+      // Batches run one after another: what the next one sends relies on what this one has synced.
       // eslint-disable-next-line no-await-in-loop
       await this.#persistWithRetries(outputs);
       outputs.forEach((output) => this.#performers[output.type]?.(output as never));
@@ -241,11 +250,11 @@
   }
 
   /**
-   * Syncs a batch, however long that takes.
+   * Syncs a batch, retrying until that succeeds.
    *
-   * Failure: a full disk refuses every write for seconds. Symptom: a replica that ends because of it
-   * takes its hub down too, and comes back to the same disk. Enough: until its batch is synced a
-   * replica sends nothing, which to the others is a replica that is down; they elect another leader.
+   * A full disk refuses every write for seconds. If the replica exited because of that, its hub would go down with it
+   * and restart on the same disk. Instead it sends nothing until the batch is synced; the other replicas then
+   * consider it down and elect another leader.
    */
   async #persistWithRetries(outputs: readonly ConsensusOutput[]): Promise<void> {
     let failures = 0;
@@ -254,7 +263,10 @@
         // eslint-disable-next-line no-await-in-loop
         await this.#persist(outputs);
         if (failures > 0) {
-          this.#options.log.info({ event: 'disk', failures }, 'the data folder takes writes again');
+          this.#options.log.info(
+            { event: 'disk', failures },
+            'the data folder accepts writes again',
+          );
         }
         return;
       } catch (err) {
@@ -290,7 +302,7 @@
       const proposal = this.#proposalsByIndex.get(index);
       if (proposal !== undefined) {
         this.#proposalsByIndex.delete(index);
-        // Another leader's entry stands where ours did: ours was lost.
+        // An entry of another term at this index has replaced our proposal, which is lost.
         settle(this.#proposals, proposal.id, proposal.term === term ? applied.result : null);
       }
     });
--- a/src/daemon/DaemonConsensusJournal.ts
+++ b/src/daemon/DaemonConsensusJournal.ts
@@ -1,4 +1,4 @@
-/** Records of a replica's journal, and what a replica recovers from them. */
+/** Journal records of a replica, and the recovery of its state from them. */
 import type {
   ConsensusEntry,
   ConsensusOutput,
@@ -7,7 +7,10 @@
   ConsensusState,
 } from '../coordination/index.js';
 
-/** One record. A commit record is written before what it covers is handed to other processes. */
+/**
+ * One journal record. A `commit` record is written before the entries that it covers are applied or sent to other
+ * processes.
+ */
 export type JournalRecord =
   | { readonly kind: 'hard'; readonly term: number; readonly vote: string | null }
   | {
@@ -25,7 +28,7 @@
   image: null,
 };
 
-/** The record of an output that must be synced. */
+/** Journal records for an output; none if it needs no sync. */
 export function toRecord(output: ConsensusOutput): readonly JournalRecord[] {
   switch (output.type) {
     case 'persistHard':
@@ -39,7 +42,7 @@
   }
 }
 
-/** A journal that holds just a replica's state. */
+/** Records of the current state only; a journal rewritten with them is as short as possible. */
 export function toJournal(state: ConsensusState): readonly JournalRecord[] {
   return [
     { kind: 'snapshot', snapshot: state.snapshot },
@@ -51,7 +54,7 @@
 
 interface Recovered {
   readonly recovery: ConsensusRecovery;
-  /** What was known to be committed before the restart. */
+  /** Highest index that was known to be committed before the restart. */
   readonly commit: number;
 }
 
@@ -72,7 +75,7 @@
   }
 }
 
-/** Reads a journal from its first record to its last. */
+/** Rebuilds a replica's state by replaying all records of its journal in order. */
 export function recoverJournal(records: readonly unknown[]): Recovered {
   return (records as readonly JournalRecord[]).reduce(applyRecord, {
     recovery: { hard: { term: 0, vote: null }, snapshot: EMPTY_SNAPSHOT, log: [] },
--- a/src/daemon/DaemonControl.ts
+++ b/src/daemon/DaemonControl.ts
@@ -1,4 +1,4 @@
-/** Composition root of role `control` by the product's own settings. */
+/** Composition root of role `control`, configured by the product's own settings. */
 import { serveHttp } from '../transport/index.js';
 import { addAdminApi } from './DaemonAdmin.js';
 import { addQuarantineApi } from './DaemonQuarantineApi.js';
@@ -8,10 +8,13 @@
 import type { ControlSettings } from './DaemonSettings.js';
 import { DaemonTestSwitch } from './DaemonTestSwitch.js';
 
-/** Disks that may be lost at once: one, as control hosts stand one an AZ and one AZ at a time may be lost. */
+/**
+ * How many disks may be lost at the same time: one, since each AZ has one control host and one AZ at a time may be
+ * lost.
+ */
 const TOLERATED_DISK_LOSSES = 1;
 
-/** Runs a control process until the signal. */
+/** Starts a control process, which stops when the signal aborts. */
 export async function runControl(
   cfg: ControlSettings,
   runtime: Runtime,
@@ -50,5 +53,5 @@
     controls: async () => core.status(),
   });
   await serveHttp(app, cfg.http, signal);
-  runtime.log.info({ event: 'listening', replica: core.replica }, 'control is up');
+  runtime.log.info({ event: 'listening', replica: core.replica }, 'control process is listening');
 }
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -1,4 +1,4 @@
-/** A control process without its outward API: a replica of the log, and hub of its AZ's processes. */
+/** A control process without its HTTP API: a replica of the log, and the hub that processes of its AZ attach to. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix';
 import { replicaName } from '../coordination/index.js';
@@ -25,42 +25,42 @@
 const CLUSTER_CHECK_INTERVAL_MS = 500;
 
 /**
- * How often the leader looks whether a learner has caught up or a voter is gone, ms. Until a lost disk is
- * made up for, the next one counts double; a look costs some microseconds.
+ * How often the leader checks whether a learner has caught up or a voter is gone, ms. Until a lost disk is replaced,
+ * one loss less is tolerated; a check costs only some microseconds.
  */
 const VOTER_CHECK_INTERVAL_MS = 100;
 
 /**
- * How long a read of the newest index may take: some hundred round trips between AZs. Longer ones mean
- * that the leader is gone, and whoever asks does better to ask elsewhere. In ms.
+ * Timeout for a read of the newest index, ms: about a hundred round trips between AZs. A read that takes longer means
+ * that the leader is gone, and its caller should ask another control process.
  */
 const READ_TIMEOUT_MS = 800;
 
-/** How often a replica that is behind, or knows no leader, looks again. In ms. */
+/** How often a replica that is behind, or knows no leader, checks again, ms. */
 const CATCH_UP_POLL_MS = 20;
 
-/** A question that only a leader can answer waits this long for one: an election of hosts that are up. In ms. */
+/** How long a read waits for a leader to be known, ms: long enough for an election among running hosts. */
 const LEADER_WAIT_MS = 400;
 
-/** How often a replica that isn't sure to hold the newest asks the leader. In ms. */
+/** How often a replica that has not confirmed that it is up to date asks the leader, ms. */
 const CONFIRM_INTERVAL_MS = 50;
 
-/** What a control process is made of. */
+/** Settings and dependencies of a control process. */
 export interface ControlCoreOptions {
   readonly id: string;
   readonly zone: string;
-  /** Address of this process's links as others are told, and the one that it listens on. */
+  /** Address under which other processes reach this one's links, and the address that it listens on. */
   readonly link: Address;
   readonly bind: Address;
   readonly dataFolder: string;
   readonly compactEvery: number;
-  /** Disks that may be lost at once without anything accepted being lost. */
+  /** How many disks may be lost at the same time without losing anything accepted. */
   readonly lossesBorne: number;
-  /** The processes that found a cluster together; null where this one must only join. */
+  /** Names of the processes that found a cluster together; null if this process may only join one. */
   readonly founders: readonly string[] | null;
-  /** Control processes known from settings. */
+  /** Control processes known from the settings. */
   readonly targets: () => readonly ControlTarget[];
-  /** Address of a control process that only the log names, where its name tells it. */
+  /** Address of a control process that is named only in the log; undefined if its name doesn't determine one. */
   readonly locate: (name: string) => Address | undefined;
   readonly testSwitch: DaemonTestSwitch;
 }
@@ -77,7 +77,7 @@
   readonly newest: CoalescedRead<number>;
 }
 
-/** Calls a service at the leader, wherever it is. Rejects if there is none or it is out of reach. */
+/** Calls a method at the leader, which may be this replica. Rejects if no leader is known or it is unreachable. */
 async function callLeader<T>(
   { consensus, peers }: Cradle,
   method: string,
@@ -94,7 +94,7 @@
   return (await peers.request(replicaName(leader), method, params)) as T;
 }
 
-/** The leader's word on the newest index; waits a moment where there is no leader yet. */
+/** Reads the newest log index from the leader; waits until the time `until` for a leader to be known. */
 async function readIndexAtLeader(cradle: Cradle, until: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
   const hasLeader = (): boolean =>
@@ -108,7 +108,10 @@
   );
 }
 
-/** Index of the newest configuration, once this replica holds all that was accepted before. */
+/**
+ * Resolves with the index of the newest configuration once this replica has applied everything that was accepted
+ * before. Rejects if no leader confirms that index, or this replica doesn't catch up in time.
+ */
 async function newestIndex(cradle: Cradle): Promise<number> {
   const { consensus, runtime } = cradle;
   const until = runtime.now() + READ_TIMEOUT_MS;
@@ -240,7 +243,9 @@
   };
 }
 
-/** Confirms with the leader that this replica holds all that was accepted. */
+/**
+ * Asks the leader whether this replica has applied everything that was accepted, and if so reports that to the hub.
+ */
 async function confirmUpToDate(cradle: Cradle): Promise<void> {
   const { consensus, hub } = cradle;
   if (hub.rollout.phase === 'checked') {
@@ -258,7 +263,12 @@
 function runTasks(cradle: Cradle): void {
   const { consensus, hub, peers, service, runtime, signal } = cradle;
   const runLoggingErrors = (task: Promise<void>): void => {
-    task.catch((err: unknown) => runtime.log.debug({ err: (err as Error).message }, 'not yet'));
+    task.catch((err: unknown) =>
+      runtime.log.debug(
+        { err: (err as Error).message },
+        'periodic task failed; retrying at its next interval',
+      ),
+    );
   };
   hub.onControlState(consensus.control);
   runEvery(TICK_MS, signal, () => {
@@ -287,7 +297,7 @@
   });
 }
 
-/** What an outward API calls. */
+/** Interface of a control process for its HTTP API. */
 export interface ControlCore {
   readonly replica: string;
   readonly consensus: DaemonConsensus;
@@ -295,9 +305,9 @@
   submit: (manifest: Manifest) => Promise<SubmitReply>;
   /** Replaces a fleet's configuration by a document. */
   replace: (request: ReplaceRequest) => Promise<SubmitReply>;
-  /** The newest configuration. Rejects where this process can't be sure which that is. */
+  /** The newest configuration. Rejects if this process can't confirm which one that is. */
   readNewest: () => Promise<ConfigState>;
-  /** What each control process in reach tells of itself, this one first. */
+  /** Status of each reachable control process, this one first. */
   status: () => Promise<readonly ControlStatus[]>;
 }
 
@@ -313,7 +323,7 @@
   };
 }
 
-/** Starts a control process; it ends with the signal. */
+/** Starts a control process, which stops when the signal aborts. */
 export async function startControlCore(
   cfg: ControlCoreOptions,
   runtime: Runtime,
--- a/src/daemon/DaemonControlPeers.ts
+++ b/src/daemon/DaemonControlPeers.ts
@@ -1,4 +1,4 @@
-/** Links of a control process to the others, and the forming of a cluster over them. */
+/** Links from a control process to the others, and how a cluster is formed over them. */
 import type { Logger } from 'pino';
 import { replicaName, type ConsensusMessage, type ConsensusState } from '../coordination/index.js';
 import type { ControlAddress, DirectoryDelta, GroupLoad, MemberRecord } from '../protocol/index.js';
@@ -12,7 +12,7 @@
 import type { DaemonHub, SharedUpdate, SharedTopic } from './DaemonHub.js';
 import type { ControlTarget } from './DaemonSettings.js';
 
-/** Who a control process is. */
+/** Identity of a control process. `formed` tells whether its replica belongs to a cluster. */
 export interface PeerIdentity {
   readonly name: string;
   readonly replica: string;
@@ -20,20 +20,23 @@
   readonly zone: string;
 }
 
-/** A replica that has heard no leader for this long asks whether it still is a member. In ms. */
+/**
+ * A replica that has heard from no leader for this long asks to be admitted again; also the interval of the log line
+ * about it. In ms.
+ */
 const LEADERLESS_MS = 3_000;
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonControlPeers}. */
 export interface ControlPeersOptions {
   readonly self: string;
   readonly zone: string;
-  /** Where this process takes links. */
+  /** Address at which this process accepts links. */
   readonly address: Address;
-  /** The processes that found a cluster together; null where this one must only join. */
+  /** Names of the processes that found a cluster together; null if this process may only join one. */
   readonly founders: readonly string[] | null;
-  /** Control processes known from settings. */
+  /** Control processes known from the settings. */
   readonly targets: () => readonly ControlTarget[];
-  /** Address of a control process that only the log names, where its name tells it. */
+  /** Address of a control process that is named only in the log; undefined if its name doesn't determine one. */
   readonly locate: (name: string) => Address | undefined;
   readonly now: () => number;
   readonly consensus: () => DaemonConsensus;
@@ -50,16 +53,16 @@
   readonly message: ConsensusMessage;
 }
 
-/** The other control processes. */
+/** The links to the other control processes. */
 export class DaemonControlPeers {
   readonly #options: ControlPeersOptions;
 
   readonly #clients = new Map<string, TransportLinkClient>();
 
-  /** Ends the client of one peer. */
+  /** Abort controllers that stop the client of a peer, by its name. */
   readonly #stopControllers = new Map<string, AbortController>();
 
-  /** Peers that have said hello, by name. */
+  /** Addresses of peers that have sent `control.hello`, by name. */
   readonly #peerAddresses = new Map<string, ControlAddress>();
 
   #leaderlessLoggedAt = -Infinity;
@@ -75,7 +78,7 @@
     return [{ name: self, zone, address }, ...this.#peerAddresses.values()];
   }
 
-  /** Methods for the other control processes. */
+  /** Link methods that the other control processes call. */
   get handlers(): LinkHandlers {
     const { consensus, hub } = this.#options;
     return {
@@ -89,7 +92,8 @@
       },
       raft: (params) => {
         const { to, from, message } = params as RaftParams;
-        // Meant for an identity that this host had before it lost its disk: not ours to answer.
+        // A message for another replica id was meant for the one that this host had before it lost its disk, so it is
+        // ignored.
         if (to === consensus().state.id) {
           consensus().post({ type: 'message', from, message });
         }
@@ -113,30 +117,30 @@
     return { name: self, replica: consensus.state.id, formed: consensus.isFormed, zone };
   }
 
-  /** Sends a message of the log to a replica; it may be lost. */
+  /** Sends a consensus message to a replica; it may be lost. */
   send(to: string, message: ConsensusMessage): void {
     const from = this.#options.consensus().state.id;
     const params: RaftParams = { to, from, message };
     this.#clients.get(replicaName(to))?.notify('raft', params);
   }
 
-  /** When a replica's host was last heard over the link to it; undefined where there is no such link. */
+  /** When a replica's host was last heard from over the link to it, ms; undefined if there is no client for it. */
   heardAt(replica: string): number | undefined {
     return this.#clients.get(replicaName(replica))?.heardAt;
   }
 
-  /** Sends news of members to all. */
+  /** Sends changed member records to all peers. */
   publishMembers(records: readonly MemberRecord[]): void {
     const delta = this.#directoryDelta(false, records);
     this.#clients.forEach((client) => client.notify('control.directory', delta));
   }
 
-  /** Sends a group's load to all. */
+  /** Sends the load of a group to all peers. */
   publishLoad(load: GroupLoad): void {
     this.#clients.forEach((client) => client.notify('control.load', load));
   }
 
-  /** Sends news of what all entry and control processes hold to all. */
+  /** Sends an update of a shared set to all peers. */
   publishUpdate(topic: SharedTopic, update: SharedUpdate): void {
     this.#clients.forEach((_client, name) => this.#sendUpdate(name, topic, update));
   }
@@ -152,7 +156,7 @@
       .onSharedUpdate(topic, update, from, (reply) => this.#sendUpdate(from, topic, reply));
   }
 
-  /** Calls a method at a control process by name. */
+  /** Calls a method at the control process of that name. Rejects if it is unknown or unreachable. */
   async request(name: string, method: string, params: unknown): Promise<unknown> {
     const client = this.#clients.get(name);
     if (client === undefined) {
@@ -161,7 +165,7 @@
     return client.request(method, params);
   }
 
-  /** Asks all others; leaves out those that don't answer. */
+  /** Calls a method at all peers; returns the results of those that answer within a second. */
   async requestAll(method: string, params: unknown): Promise<readonly unknown[]> {
     const settled = await Promise.allSettled(
       [...this.#clients.values()].map(async (client) => client.request(method, params, 1_000)),
@@ -170,11 +174,11 @@
   }
 
   /**
-   * Forms a cluster, or joins the one that is there.
+   * Founds a cluster, or joins an existing one.
    *
-   * Failure: a replica with an empty folder can't tell a first start from a lost disk. Symptom: it
-   * founds a second cluster beside the first, and accepted configurations are forgotten. Enough: a
-   * cluster is founded only while every configured process answers that it belongs to none.
+   * A replica with an empty folder can't distinguish a first start from a lost disk. If it founded a second cluster
+   * beside the first, accepted configurations would be forgotten. So a cluster is founded only if every configured
+   * founder answers that it belongs to none.
    */
   async formOrJoinCluster(): Promise<void> {
     this.#updateLinks();
@@ -201,11 +205,11 @@
   }
 
   /**
-   * Asks to be taken in again.
+   * Asks to be admitted again if there is no leader.
    *
-   * Failure: a replica was replaced while it was out of reach, and returns with its old log.
-   * Symptom: it waits for a leader that no longer sends to it, for good. Enough: without a leader it
-   * asks the others, who take it in as a learner, or know it as a member and change nothing.
+   * A replica that was replaced while it was unreachable returns with its old log, and would wait forever for a
+   * leader that no longer sends to it. The others admit it as a learner, or find that it is a member and change
+   * nothing.
    */
   async #rejoin(): Promise<void> {
     const { state } = this.#options.consensus();
@@ -218,7 +222,9 @@
     await this.requestAll('control.join', { replica: state.id });
   }
 
-  /** Tells at an interval why this replica has no leader: whose votes it got, and whom it reaches. */
+  /**
+   * Logs at most every LEADERLESS_MS why this replica has no leader: whose votes it got, and which peers it reaches.
+   */
   #logLeaderless({ role, term, votes, members }: ConsensusState): void {
     const now = this.#options.now();
     if (now - this.#leaderlessLoggedAt < LEADERLESS_MS) {
@@ -232,7 +238,10 @@
     );
   }
 
-  /** Keeps a link to each member of the log; ends those to hosts that no longer are. */
+  /**
+   * Opens a link to each configured process and each member of the cluster; drops the clients of hosts that are
+   * neither, once they have no link.
+   */
   #updateLinks(): void {
     const { consensus, locate, self } = this.#options;
     const targets = this.#options.targets();
@@ -269,7 +278,8 @@
       jitter: random,
       onUp: async (link) => {
         link.notify('control.hello', { from: self, self: this.controls[0] });
-        // A new link may have missed news: the peer gets the whole list of those attached here.
+        // Updates may have been missed while there was no link, so the peer gets all records of processes attached
+        // here.
         const { attached } = hub();
         link.notify('control.directory', this.#directoryDelta(true, attached));
         hub().sendSharedSets((topic, update) =>
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -1,4 +1,4 @@
-/** What a control process does for others by way of the log: submissions, leases, joins. */
+/** Services that a control process provides through the log: submissions, leases and joins. */
 import type { Logger } from 'pino';
 import {
   countRenewals,
@@ -31,10 +31,16 @@
 } from '../state/index.js';
 import type { DaemonConsensus } from './DaemonConsensus.js';
 
-/** Submissions that race are worked out anew this often before the caller is asked to resend. */
+/**
+ * How many times a submission is computed and proposed, when others race with it, before the caller is asked to
+ * resend.
+ */
 const SUBMIT_ATTEMPTS = 4;
 
-/** A question about a lease. `observe` only asks who holds it. */
+/**
+ * A request to get or renew a lease. With `observe`, a lease that another process holds is only reported, unless that
+ * holder has exited.
+ */
 export interface LeaseRequest {
   readonly group: string;
   readonly holder: string;
@@ -43,13 +49,13 @@
   readonly observe: boolean;
 }
 
-/** Answer to a {@link LeaseRequest}. */
+/** Reply to a {@link LeaseRequest}. */
 export type LeaseReply =
   | { readonly result: 'granted'; readonly lease: LeaseGrant; readonly renewals: number }
   | { readonly result: 'held'; readonly lease: LeaseState }
   | { readonly result: 'failed' };
 
-/** A document that replaces a fleet's configuration, if its version is the highest. */
+/** A document that replaces a fleet's configuration if its version is the highest. */
 export interface ReplaceRequest {
   readonly fleet: string;
   readonly version: number;
@@ -57,7 +63,7 @@
   readonly entries: ConfigEntries;
 }
 
-/** What the services stand on. */
+/** Dependencies of the services. */
 export interface ControlServiceOptions {
   readonly consensus: DaemonConsensus;
   readonly log: Logger;
@@ -65,11 +71,11 @@
   /** See {@link VoterView}. */
   readonly heardAt: VoterView['heardAt'];
   readonly lossesBorne: number;
-  /** The newest record of a process, by its id. */
+  /** The newest member record of a process, by its id. */
   readonly recordOf: (id: string) => MemberRecord | undefined;
 }
 
-/** Services that only the leader gives. */
+/** Services that only the leader provides. */
 export class DaemonControlService {
   readonly #options: ControlServiceOptions;
 
@@ -83,7 +89,7 @@
 
   #renewalsTerm = 0;
 
-  /** Whether a change of members is on its way. */
+  /** Whether a change of the voters is in progress. */
   #isChangingVoters = false;
 
   constructor(options: ControlServiceOptions) {
@@ -93,13 +99,16 @@
     this.#now = options.now;
   }
 
-  /** Accepts a manifest, or says why not. `accepted` is said only once a quorum has committed. */
+  /**
+   * Submits a manifest; replies with the reason if it isn't accepted. `accepted` means that a quorum has committed
+   * it.
+   */
   async submit(manifest: Manifest): Promise<SubmitReply> {
     const { fleet, version } = manifest;
     const digest = digestManifest(manifest);
     const entries = flattenManifest(manifest);
     const attempt = async (triesLeft: number): Promise<SubmitReply> => {
-      // Confirms that this replica leads and has applied all that was accepted before.
+      // Confirms that this replica leads and has applied everything accepted before.
       if ((await this.#consensus.readIndex()) === null) {
         return { result: 'unavailable', reason: 'no leader with a quorum' };
       }
@@ -132,12 +141,12 @@
   }
 
   /**
-   * Replaces a fleet's configuration. Accepted means that this document or one of a higher version is
+   * Replaces a fleet's configuration. `accepted` means that this document or one of at least its version is
    * committed: a version that isn't higher is accepted and changes nothing.
    */
   async replace(request: ReplaceRequest): Promise<SubmitReply> {
     const { fleet, version, digest } = request;
-    // Confirms that this replica leads and has applied all that was accepted before.
+    // Confirms that this replica leads and has applied everything accepted before.
     if ((await this.#consensus.readIndex()) === null) {
       return { result: 'unavailable', reason: 'no leader with a quorum' };
     }
@@ -166,7 +175,7 @@
     return reply;
   }
 
-  /** Which voters have synced what was accepted, and of which voters they are a majority. */
+  /** For the log: the voters that have synced an accepted entry, and all voters, of which they are a majority. */
   #commitQuorum(reply: SubmitReply): object {
     const { state } = this.#consensus;
     return reply.result === 'accepted'
@@ -174,11 +183,11 @@
       : {};
   }
 
-  /** Grants or renews a lease, or says who holds it. */
+  /** Grants or renews a lease, or replies who holds it. */
   async requestLease(request: LeaseRequest): Promise<LeaseReply> {
     const { group, holder } = request;
     const held = this.#consensus.control.leases[group];
-    // A leader that was frozen may have been replaced without knowing: it vouches for nothing.
+    // A leader that was suspended may have been replaced without knowing it, so it can't tell who holds a lease.
     if (hasLostQuorum(this.#consensus.state, this.#now())) {
       return { result: 'failed' };
     }
@@ -195,7 +204,7 @@
     return this.#grant(request, held);
   }
 
-  /** What is remembered of renewals, from the own election on. */
+  /** Renewals that this replica has seen as the leader of the current term. */
   #renewalsOfTerm(): LeaseRenewalsState {
     const { term } = this.#consensus.state;
     if (term !== this.#renewalsTerm) {
@@ -228,7 +237,7 @@
     return result?.result === 'held' ? result : { result: 'failed' };
   }
 
-  /** Takes a replica in as a learner; it is promoted by {@link updateVoters}. */
+  /** Admits a replica as a learner, in place of an earlier learner of its host; {@link updateVoters} promotes it. */
   async join(replica: string): Promise<boolean> {
     const { members } = this.#consensus.state;
     if (members.voters.includes(replica) || members.learners.includes(replica)) {
@@ -244,7 +253,7 @@
     return result !== null;
   }
 
-  /** Makes learners voters, and drops voters that are gone; see {@link nextVoterChange}. */
+  /** Promotes learners to voters, and drops voters that are gone; see {@link nextVoterChange}. */
   async updateVoters(): Promise<void> {
     const { state } = this.#consensus;
     const { heardAt, lossesBorne } = this.#options;
--- a/src/daemon/DaemonCoordinator.ts
+++ b/src/daemon/DaemonCoordinator.ts
@@ -1,4 +1,4 @@
-/** Task that asks for the lease on the group of this endpoint's host, and coordinates under it. */
+/** Requests the lease on the group of this endpoint's host, whose holder coordinates the group. */
 import type { Logger } from 'pino';
 import {
   holderName,
@@ -12,7 +12,7 @@
 import type { LeaseReply } from './DaemonControlService.js';
 import type { DaemonHubLink } from './DaemonHubLink.js';
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonCoordinator}. */
 export interface CoordinatorOptions {
   readonly group: string;
   readonly hubLink: DaemonHubLink;
@@ -20,7 +20,7 @@
   readonly now: () => number;
 }
 
-/** The right to coordinate one group. */
+/** Obtains and keeps the lease on one group. */
 export class DaemonCoordinator {
   readonly #options: CoordinatorOptions;
 
@@ -31,7 +31,10 @@
     this.#state = initLease(this.#self, options.group, options.now());
   }
 
-  /** The incarnation tells a process from its past life; control may have asked for a higher one at the hello. */
+  /**
+   * The holder name contains the incarnation, so that it differs from that of an earlier run; a control process may
+   * have raised the incarnation at the hello.
+   */
   get #self(): string {
     return holderName(this.#options.hubLink.record);
   }
@@ -60,7 +63,7 @@
       return;
     }
     const token = output.type === 'gained' ? output.token : null;
-    log.info({ event: 'lease', group, change: output.type, token }, 'lease on the group');
+    log.info({ event: 'lease', group, change: output.type, token }, 'lease on the group changed');
   }
 
   async #requestLease({ after, observe }: Extract<LeaseOutput, { type: 'ask' }>): Promise<void> {
--- a/src/daemon/DaemonEndpoint.ts
+++ b/src/daemon/DaemonEndpoint.ts
@@ -12,11 +12,13 @@
 
 const TICK_MS = 500;
 
-/** How long a connection to the engine may take to be made, ms. */
+/** Timeout for connecting to the engine, ms. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** A leaving process waits this long with nothing in progress, so that late attempts are refused
- * in so many words instead of meeting a closed port. In ms. */
+/**
+ * How long a leaving process keeps listening with nothing in progress, ms, so that late attempts get an explicit
+ * refusal instead of a closed port.
+ */
 const LINGER_MS = 1_500;
 
 interface Cradle {
@@ -98,7 +100,7 @@
   return container.cradle;
 }
 
-/** Leaves: says so, refuses new work, and waits for all attempts in progress. */
+/** Leaves: announces that, refuses new attempts, and waits until `drained` resolves. */
 async function leave(
   { hubLink, gate }: Cradle,
   runtime: Runtime,
@@ -117,7 +119,9 @@
   });
 }
 
-/** Runs an endpoint process until the signal, then until its attempts have ended. */
+/**
+ * Runs an endpoint process until the signal aborts, and then until its attempts have ended or `drain-ms` has passed.
+ */
 export async function runEndpoint(
   cfg: EndpointSettings,
   runtime: Runtime,
@@ -142,7 +146,7 @@
       coordinator?.tick();
     }
   });
-  runtime.log.info({ event: 'listening', http: cfg.http }, 'endpoint is up');
+  runtime.log.info({ event: 'listening', http: cfg.http }, 'endpoint process is listening');
   await waitForAbort(signal);
   const drainTimeout = new Promise<void>((resolve) => {
     setTimeout(resolve, cfg['drain-ms']).unref();
--- a/src/daemon/DaemonEndpointCrashes.ts
+++ b/src/daemon/DaemonEndpointCrashes.ts
@@ -1,4 +1,4 @@
-/** Task of an entry process that finds out which requests were in progress at an endpoint when it ended. */
+/** Finds out, in an entry process, which requests were in progress at an endpoint when it crashed. */
 import type { Counter } from 'prom-client';
 import {
   incarnationKeyOf,
@@ -14,22 +14,22 @@
 import { parseAddress, type Address, type Probe } from '../transport/index.js';
 import type { Runtime } from './DaemonRuntime.js';
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonEndpointCrashes}. */
 export interface EndpointCrashesOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   readonly probe: (address: Address) => Probe;
   readonly crashes: Pick<Counter, 'inc'>;
-  /** Takes the requests that were in progress at a life that has ended. */
+  /** Called with the requests that were in progress at an incarnation that has crashed. */
   readonly onSuspects: (incarnationKey: IncarnationKey, suspects: readonly LostRequest[]) => void;
 }
 
-/** The task. */
+/** Watches endpoints at which requests were lost. */
 export class DaemonEndpointCrashes {
   readonly #options: EndpointCrashesOptions;
 
   #state: EndpointCrashesState = NO_ENDPOINT_CRASHES;
 
-  /** Endpoints at which requests were lost, by life, while nobody knows whether it has ended. */
+  /** Endpoints at which requests were lost, by incarnation, while it is unknown whether it has crashed. */
   readonly #endpoints = new Map<IncarnationKey, MemberRecord>();
 
   readonly #probes = new Map<IncarnationKey, Promise<void>>();
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Takes a request whose connection to an endpoint has ended before its answer was whole. Resolves as soon as a
-   * probe has told what it can, so that whoever sends the request again knows what it did.
+   * Records a request whose connection to an endpoint ended before its answer was complete. Resolves once a probe of
+   * the endpoint has a result or would take long, so that the caller knows about a crash before it sends the request
+   * again.
    */
   async onConnectionLost(endpoint: MemberRecord, lost: LostRequest): Promise<void> {
     const incarnationKey = incarnationKeyOf(endpoint);
@@ -49,13 +50,13 @@
     await this.#probes.get(incarnationKey);
   }
 
-  /** Takes a request and the life of an endpoint that is known to have ended under it. */
+  /** Records a request and the incarnation of an endpoint that is known to have crashed while processing it. */
   onCrashed(incarnationKey: IncarnationKey, lost: LostRequest): void {
     this.#step({ type: 'ended', incarnationKey });
     this.#step({ type: 'lost', incarnationKey, lost });
   }
 
-  /** Takes news of members; `isNew` tells whether an id was unknown before them. */
+  /** Handles changed member records; `isNew` tells whether an id was unknown before them. */
   onMembers(records: readonly MemberRecord[], isNew: (id: string) => boolean): void {
     [...this.#endpoints].forEach(([incarnationKey, known]) => {
       const proof = records.find(
@@ -90,7 +91,7 @@
           evidence,
           suspects: suspects.map(({ request, digest }) => `${request}=${digest}`),
         },
-        'an endpoint ended with requests in progress',
+        'an endpoint crashed with requests in progress',
       );
       this.#options.onSuspects(incarnationKey, suspects);
     });
@@ -111,11 +112,13 @@
       .then((found) => {
         this.#options.runtime.log.info(
           { event: 'endpoint_probe', life: incarnationKey, result: found },
-          'endpoint probed after a connection to it ended',
+          'endpoint probed after a connection to it was lost',
         );
         this.#probes.delete(incarnationKey);
         this.#step({ type: 'probed', incarnationKey, result: found });
       })
-      .catch((err: unknown) => this.#options.runtime.log.error({ err }, 'probe failed'));
+      .catch((err: unknown) =>
+        this.#options.runtime.log.error({ err }, 'probe of an endpoint failed'),
+      );
   }
 }
--- a/src/daemon/DaemonEntry.ts
+++ b/src/daemon/DaemonEntry.ts
@@ -1,4 +1,4 @@
-/** Composition root of role `entry`: callers' requests. */
+/** Composition root of role `entry`, which serves callers' requests. */
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix';
 import { Agent } from 'undici';
 import { serveHttp } from '../transport/index.js';
@@ -11,7 +11,7 @@
 
 const TICK_MS = 250;
 
-/** Connections to one gate. More calls than this wait for one, and count as in flight. */
+/** Maximum number of connections to one gate. Further calls wait for a free one, and count as in flight. */
 const CONNECTIONS_PER_GATE = 256;
 
 interface Cradle {
@@ -33,7 +33,7 @@
     agent: asValue(
       new Agent({
         connections: CONNECTIONS_PER_GATE,
-        // The request's own deadline ends it; a long pause between tokens is not a fault here.
+        // No timeouts: the deadline of the request ends it, and a long pause between tokens isn't a fault.
         headersTimeout: 0,
         bodyTimeout: 0,
         keepAliveTimeout: 30_000,
@@ -66,7 +66,9 @@
   return container.cradle;
 }
 
-/** Runs an entry process until the signal, then until no request is in progress. */
+/**
+ * Runs an entry process until the signal aborts, and then until no request is in progress or `drain-ms` has passed.
+ */
 export async function runEntry(
   cfg: EntrySettings,
   runtime: Runtime,
@@ -81,7 +83,7 @@
   addCallerApi(app, { id: cfg.id, runtime, state, agent, hubLink });
   await serveHttp(app, cfg.http, stop.signal);
   runEvery(TICK_MS, stop.signal, () => state.tick());
-  runtime.log.info({ event: 'listening', http: cfg.http }, 'entry is up');
+  runtime.log.info({ event: 'listening', http: cfg.http }, 'entry process is listening');
   signal.addEventListener('abort', () => hubLink.announce({ status: 'leaving' }), { once: true });
   await state.waitUntilDrained(signal, cfg['drain-ms']);
   stop.abort();
--- a/src/daemon/DaemonEntryApi.ts
+++ b/src/daemon/DaemonEntryApi.ts
@@ -1,4 +1,4 @@
-/** What callers see: completions, plain services by path, and errors. */
+/** The callers' HTTP API: completions, plain services by path, and errors. */
 import type { IncomingMessage } from 'node:http';
 import type Koa from 'koa';
 import type { Context } from 'koa';
@@ -14,10 +14,10 @@
 import { sendError } from './DaemonApp.js';
 import type { Runtime } from './DaemonRuntime.js';
 
-/** Characters of a prompt that decide which endpoint may hold its prefix. */
+/** How many leading characters of a prompt decide which endpoint may hold its prefix. */
 const PREFIX_CHARS = 256;
 
-/** What the API stands on. */
+/** Dependencies of the API. */
 export interface CallerApiOptions {
   readonly id: string;
   readonly runtime: Runtime;
@@ -78,7 +78,7 @@
   return { service: found[1], prefix: null, streamed: false };
 }
 
-/** Time that the caller gives the request; the service's own where it doesn't say. */
+/** Time limit of a request, ms: the caller's, at most the service's; the service's if the caller sets none. */
 function readDeadline(req: IncomingMessage, serviceMs: number): number {
   const text = headerOf(req, CALLER_HEADERS.deadline);
   if (text === undefined) {
@@ -91,7 +91,10 @@
   return Math.min(ms, serviceMs);
 }
 
-/** A request can be marked as not to be repeated, never the other way round. */
+/**
+ * Whether a request may be repeated. A caller can forbid the repetition that its service allows, but not allow what
+ * it forbids.
+ */
 function readRepeatable(req: IncomingMessage, service: FleetService): boolean {
   const text = headerOf(req, CALLER_HEADERS.repeatable);
   if (text !== undefined && text !== 'true' && text !== 'false') {
@@ -100,7 +103,7 @@
   return service.service.repeatable && text !== 'false';
 }
 
-/** Answers calls by `Idempotency-Key` honestly until claims by quorum are there. */
+/** Rejects requests with `Idempotency-Key`, which can't be honored until keys are claimed by quorum. */
 function refuseIdempotencyKey(req: IncomingMessage): void {
   if (headerOf(req, CALLER_HEADERS.key) !== undefined) {
     throw new RequestError('key_unsupported', `${CALLER_HEADERS.key} is not supported yet`);
@@ -135,7 +138,7 @@
   };
 }
 
-/** Adds the callers' interface to an application. */
+/** Adds the callers' API to an application. */
 export function addCallerApi(app: Koa, options: CallerApiOptions): void {
   const { id, runtime, state, hubLink } = options;
   let counter = 0;
--- a/src/daemon/DaemonEntryCall.ts
+++ b/src/daemon/DaemonEntryCall.ts
@@ -1,4 +1,4 @@
-/** Drives one request's attempts: routes, sends to gates, and delivers the one answer. */
+/** Runs the attempts of one request: routes them, sends them to gates, and delivers a single answer. */
 import type { ServerResponse } from 'node:http';
 import type { Context } from 'koa';
 import type { Dispatcher } from 'undici';
@@ -25,7 +25,7 @@
 import type { CallerApiOptions } from './DaemonEntryApi.js';
 import { sendError } from './DaemonApp.js';
 
-/** How long a gate may take to acknowledge a revocation before the outcome is unknown. In ms. */
+/** How long a gate may take to acknowledge a revocation before the outcome is unknown, ms. */
 const REVOKE_TIMEOUT_MS = 1_000;
 
 /** Statuses of answers that have no body (RFC 9112, section 6.3). */
@@ -66,10 +66,10 @@
 
   readonly #aborts = new Map<number, AbortController>();
 
-  /** Frame that a `deliver` output is about. */
+  /** Frame that a `deliver` output refers to. */
   #frame: AnswerFrame | null = null;
 
-  /** Parts of an answer that is sent whole. */
+  /** Buffered parts of an answer that is not streamed. */
   #parts: Uint8Array[] = [];
 
   #status = 200;
@@ -82,7 +82,7 @@
 
   #outcome = 'whole';
 
-  /** Resolves `run`. */
+  /** Resolves the promise of `run`. */
   #resolveRun: (() => void) | null = null;
 
   readonly #performers: Performers = {
@@ -122,7 +122,7 @@
     this.#state = startAttempts(request, spec.repeatable, spec.deadline).state;
   }
 
-  /** Runs the request until its final answer has been handed over. */
+  /** Runs the request until its final answer has been written or its caller has disconnected. */
   async run(): Promise<void> {
     const { state, runtime } = this.#options;
     const { customer, deadline } = this.#spec;
@@ -245,7 +245,7 @@
   ): Promise<'whole' | 'failed'> {
     const frames = readFrames(response.body);
     try {
-      // eslint-disable-next-line no-restricted-syntax -- a stream has no other way to be read in step
+      // eslint-disable-next-line no-restricted-syntax -- the only way to read a stream chunk by chunk
       for await (const frame of frames) {
         this.#frame = frame;
         if (frame.kind === 'end') {
@@ -268,7 +268,7 @@
         }
       }
     } catch {
-      // The body broke off; what that means is decided below.
+      // The body ended early; the `cut` input below decides what that means.
       if (this.#aborts.get(attempt)?.signal.aborted !== true) {
         await this.#onConnectionLost(endpoint);
       }
@@ -288,7 +288,10 @@
     }
   }
 
-  /** The gate's connection has ended: whether the gate has ended with its engine is found out before a new try. */
+  /**
+   * Handles a lost connection to a gate. Resolves once it is known, as far as possible, whether the gate and its
+   * engine crashed, so that a new attempt takes that into account.
+   */
   async #onConnectionLost(endpoint: MemberRecord): Promise<void> {
     await this.#options.state.screening.onConnectionLost(endpoint, this.#identity, this.#request);
   }
@@ -305,7 +308,7 @@
     this.#step({ type: 'revokeReply', attempt, state });
   }
 
-  /** Hands over the frame at hand: streams go on at once, other answers wait to be whole. */
+  /** Delivers the current frame: streams are written at once, other answers are buffered until they are complete. */
   #deliver(): void {
     const frame = this.#frame;
     if (frame?.kind === 'head') {
@@ -338,7 +341,7 @@
     this.#resolveRun?.();
   }
 
-  /** Written past koa, which completes what an engine left out, and spells types its own way. */
+  /** Bypasses Koa, which adds headers that an engine left out and rewrites content types. */
   #writeBufferedAnswer(body: Buffer): void {
     const isBodyless = this.#ctx.method === 'HEAD' || BODYLESS_STATUSES.has(this.#status);
     this.#ctx.respond = false;
@@ -349,7 +352,7 @@
     this.#res.write(body);
   }
 
-  /** A stream that has begun ends with an error event and without its final event. */
+  /** Sends an error. A stream that has begun ends with an error event and without its final event. */
   #finishWithError(error: RequestError): void {
     this.#outcome = error.outcome;
     if (this.#res.headersSent) {
--- a/src/daemon/DaemonEntryMetrics.ts
+++ b/src/daemon/DaemonEntryMetrics.ts
@@ -1,10 +1,10 @@
-/** Metrics of an entry process, whichever way its requests go. */
+/** Metrics of an entry process, whether its requests go through gates or directly to endpoints. */
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client';
 
-/** Upper bounds of first bytes, seconds: around the objectives, 0.12 s to 0.63 s. */
+/** Bucket bounds for the time to the first byte, s, around the objectives of 0.12 s to 0.63 s. */
 const FIRST_BYTE_BUCKETS = [0.01, 0.05, 0.1, 0.2, 0.4, 0.63, 1, 2, 5];
 
-/** Counts requests by how they end, and times their first bytes. */
+/** Counts requests by outcome, and measures the time to their first byte. */
 export class EntryMetrics {
   readonly #requests: Counter<'outcome'>;
 
@@ -16,7 +16,7 @@
 
   readonly #registers: readonly Registry[];
 
-  /** `inProgress` is asked for each time that the metrics are read. */
+  /** `inProgress` is called each time the metrics are read. */
   constructor(registry: Registry, inProgress: () => number) {
     const registers = [registry];
     this.#registers = registers;
@@ -54,7 +54,7 @@
     });
   }
 
-  /** `suspects` is asked for each time that the metrics are read. */
+  /** `suspects` is called each time the metrics are read. */
   addSuspects(suspects: () => number): void {
     // eslint-disable-next-line no-new
     new Gauge({
@@ -75,7 +75,7 @@
     this.#replies.inc({ head });
   }
 
-  /** Takes the time to a first byte, ms. */
+  /** Records the time to a first byte, ms. */
   onFirstByte(ms: number): void {
     this.#firstByte.observe(ms / 1_000);
   }
--- a/src/daemon/DaemonEntryState.ts
+++ b/src/daemon/DaemonEntryState.ts
@@ -1,4 +1,4 @@
-/** Task that owns what an entry process knows: configuration, members, routing and admission. */
+/** State of an entry process: configuration, members, routing and admission. */
 import { setTimeout as delay } from 'node:timers/promises';
 import {
   admit,
@@ -33,10 +33,10 @@
 import { DaemonScreening } from './DaemonScreening.js';
 import { waitForAbort, type Runtime } from './DaemonRuntime.js';
 
-/** How often a process that drains says what it waits for. In ms. */
+/** How often a draining process logs what it waits for, ms. */
 const DRAIN_LOG_INTERVAL_MS = 1_000;
 
-/** State of an entry process; each part is replaced whole. */
+/** Holds the state of an entry process; each part of it is replaced as a whole. */
 export class DaemonEntryState {
   readonly #id: string;
 
@@ -60,7 +60,7 @@
 
   readonly screening: DaemonScreening;
 
-  /** `sendNews` sends news of suspected requests to the control process. */
+  /** `sendQuarantineUpdate` sends updates about suspect requests to the control process. */
   constructor(
     id: string,
     zone: string,
@@ -87,7 +87,7 @@
     return this.readiness === 'ready';
   }
 
-  /** What is missing to be ready, or `ready`. */
+  /** What is missing for the process to be ready, or `ready`. */
   get readiness(): string {
     if (this.#config.index === 0) {
       return 'no configuration from a control process yet';
@@ -100,7 +100,7 @@
     this.#runtime.log.info({ event: 'config', index: config.index }, 'configuration in force');
   }
 
-  /** Whether a request must be sent to no endpoint like this one. */
+  /** Whether a request must not be sent to endpoints like this one; those of a group tolerate fewer crashes. */
   isQuarantined(identity: RequestIdentity, { offer }: MemberRecord): boolean {
     const quarantineCrashes =
       offer?.group === undefined ? QUARANTINE_CRASHES.single : QUARANTINE_CRASHES.group;
@@ -112,7 +112,7 @@
     this.#setView(mergeDelta(this.#view, delta, this.#runtime.now()));
   }
 
-  /** Drops members that have been missing for too long. */
+  /** Drops members that have been missing for too long, and runs the periodic work of the screening. */
   tick(): void {
     this.screening.tick();
     const view = pruneView(this.#view, this.#runtime.now());
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Takes a request in. @throws {RequestError} if the customer is at its limit. */
+  /** Admits a request. @throws {RequestError} if the customer is at its limit. */
   admit(customer: Customer, service: string): void {
     const { state, error } = admit(this.#admission, customer, service, this.#entryHosts);
     this.#admission = state;
@@ -134,7 +134,7 @@
     this.#inProgress.set(request, customer);
   }
 
-  /** Ends a request that was taken in. */
+  /** Records the end of an admitted request. */
   end(request: string, customer: string, outcome: string): void {
     this.#inProgress.delete(request);
     this.#admission = release(this.#admission, customer);
@@ -151,7 +151,7 @@
     return allowed;
   }
 
-  /** Chooses an endpoint, and writes down why. */
+  /** Chooses an endpoint, and logs why. */
   route(req: RoutingRequest, request: string, attempt: number): RoutingDecision {
     const { rng, log } = this.#runtime;
     const decision = routeRequest(this.#routing, req, this.#runtime.now(), rng);
@@ -175,7 +175,7 @@
     this.#routing = updateRouting(this.#routing, input, this.#runtime.now());
   }
 
-  /** The customer of a request. @throws {RequestError} if there is none by that name. */
+  /** Returns the customer of that name. @throws {RequestError} if there is none. */
   customer(name: string | undefined): Customer {
     const customer = name === undefined ? undefined : this.#config.customers.get(name);
     if (customer === undefined) {
@@ -184,7 +184,7 @@
     return customer;
   }
 
-  /** Resolves once the signal has come and nothing is in progress, or after a time limit. */
+  /** Resolves once the signal has aborted and no request is in progress, or `timeoutMs` after the signal. */
   async waitUntilDrained(signal: AbortSignal, timeoutMs: number): Promise<void> {
     await waitForAbort(signal);
     const until = this.#runtime.now() + timeoutMs;
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -1,4 +1,4 @@
-/** Task of the gate in front of an engine: its HTTP interface towards entry processes. */
+/** The gate in front of an engine, with its HTTP API for entry processes. */
 import type { Context } from 'koa';
 import type Koa from 'koa';
 import type { Dispatcher } from 'undici';
@@ -25,14 +25,14 @@
 import { sendError } from './DaemonApp.js';
 import type { Runtime } from './DaemonRuntime.js';
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonGate}. */
 export interface GateOptions {
   readonly runtime: Runtime;
   readonly agent: Dispatcher;
   /** URL of the engine. */
   readonly engine: string;
   readonly slots: number;
-  /** Tells whether the engine still listens. */
+  /** Probes whether the engine still listens. */
   readonly probe: () => Probe;
   readonly record: () => MemberRecord;
   readonly onDrained: () => void;
@@ -58,7 +58,7 @@
     throw new RequestError('bad_request', 'headers of an attempt are missing');
   }
   return {
-    // The request's id holds the entry process's incarnation, so keys outlive its restarts.
+    // The request id contains the entry process's incarnation, so keys stay unique when it restarts.
     key: `${request}#${attempt}`,
     request,
     attempt,
@@ -70,7 +70,7 @@
   };
 }
 
-/** The gate. */
+/** Runs attempts at the engine, and tracks whether the engine crashes during them. */
 export class DaemonGate {
   readonly #options: GateOptions;
 
@@ -87,7 +87,7 @@
     return this.#state;
   }
 
-  /** Load as this gate sees it: what runs beyond the slots waits inside the engine. */
+  /** Load as this gate sees it: attempts beyond the number of slots wait inside the engine. */
   get load(): LoadReport {
     const { size } = this.#state.running;
     const { slots } = this.#options;
@@ -101,12 +101,12 @@
     return outputs[0];
   }
 
-  /** A hub gave this process a new incarnation; it has run nothing under the old one. */
+  /** Adopts a new incarnation that a hub asked for; no attempt has run under the old one. */
   setIncarnation(incarnation: number): void {
     this.#state = { ...this.#state, incarnation };
   }
 
-  /** Adds the gate's interface to an application. */
+  /** Adds the gate's API to an application. */
   addApi(app: Koa): void {
     const routes: Readonly<Record<string, (ctx: Context) => Promise<void> | void>> = {
       'POST /v1/attempts': async (ctx) => this.#onAttempt(ctx),
@@ -214,7 +214,7 @@
     );
   }
 
-  /** The life of the engine that has ended under an attempt that it had taken; null where none is known to have. */
+  /** Ordinal of the engine incarnation that crashed during an accepted attempt; null if no crash is known. */
   async #detectEngineCrash(startedAt: number): Promise<number | null> {
     if ((await this.#options.probe().result) !== 'refused') {
       return null;
--- a/src/daemon/DaemonGateRelay.ts
+++ b/src/daemon/DaemonGateRelay.ts
@@ -1,12 +1,12 @@
-/** Relays an engine's answer as frames, without looking into its events. */
+/** Relays an engine's answer as frames, without parsing its events. */
 import type { ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
 import { DONE_EVENT, findEvents } from '../transport/index.js';
 
-/** Sends bytes that hold so many whole events. */
+/** Sends bytes that contain `events` complete events. */
 export type SendPart = (bytes: Buffer, events: number) => void;
 
-/** Why a relayed answer ended; `done` if it is whole. */
+/** Why a relayed answer ended; `done` if it is complete. */
 export type RelayEnd = 'done' | 'the engine broke off its stream';
 
 async function waitForDrain(res: ServerResponse): Promise<void> {
@@ -19,9 +19,9 @@
 /**
  * Relays server-sent events.
  *
- * Failure: an engine dies in the middle of a stream, and its connection ends like that of a whole
- * one. Symptom: half a summary looks finished. Enough: only whole events go on, and the stream is
- * whole only if its last event is the final one.
+ * If an engine crashes in the middle of a stream, its connection ends like that of a complete one, and half an answer
+ * would look finished. So only complete events are relayed, and the stream is complete only if its last event is the
+ * final one.
  */
 export async function relayEvents(
   body: Readable,
@@ -30,7 +30,7 @@
 ): Promise<RelayEnd> {
   let remainder: Buffer = Buffer.alloc(0);
   let done = false;
-  // eslint-disable-next-line no-restricted-syntax -- a stream has no other way to be read in step
+  // eslint-disable-next-line no-restricted-syntax -- the only way to read a stream chunk by chunk
   for await (const chunk of body) {
     const data =
       remainder.length === 0 ? (chunk as Buffer) : Buffer.concat([remainder, chunk as Buffer]);
@@ -47,13 +47,13 @@
   return done && remainder.length === 0 ? 'done' : 'the engine broke off its stream';
 }
 
-/** Relays an answer that is not a stream; each part counts as one event. */
+/** Relays an answer that is not a stream; each chunk counts as one event. */
 export async function relayBody(
   body: Readable,
   res: ServerResponse,
   send: SendPart,
 ): Promise<RelayEnd> {
-  // eslint-disable-next-line no-restricted-syntax -- a stream has no other way to be read in step
+  // eslint-disable-next-line no-restricted-syntax -- the only way to read a stream chunk by chunk
   for await (const chunk of body) {
     send(chunk as Buffer, 1);
     if (res.writableNeedDrain) {
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -1,6 +1,6 @@
 /**
- * Task that owns the processes attached to a control process: their links, their leases and what
- * configuration each was sent.
+ * Manages the processes attached to a control process: their links, their membership leases, and which configuration
+ * each was sent.
  */
 import type { Logger } from 'pino';
 import {
@@ -39,44 +39,44 @@
   type TransportLink,
 } from '../transport/index.js';
 
-/** A link on which nothing was heard for this long renews no lease. In ms. */
+/** A link on which nothing was received for this long no longer renews the lease of its process, ms. */
 const LINK_STALE_MS = 1_500;
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonHub}. */
 export interface HubOptions {
   readonly zone: string;
   readonly log: Logger;
   readonly now: () => number;
-  /** Sends news of members to the other control processes. */
+  /** Sends changed member records to the other control processes. */
   readonly publishMembers: (records: readonly MemberRecord[]) => void;
-  /** Control processes that a process which attaches is told of. */
+  /** The known control processes, which a process is sent when it attaches. */
   readonly controls: () => readonly ControlAddress[];
-  /** Sends a group's load to the other control processes. */
+  /** Sends the load of a group to the other control processes. */
   readonly publishLoad: (load: GroupLoad) => void;
-  /** Sends news of what all entry and control processes hold to the other control processes. */
+  /** Sends an update of a shared set to the other control processes. */
   readonly publishUpdate: (topic: SharedTopic, update: SharedUpdate) => void;
 }
 
-/** What all entry and control processes hold alike, by the name of its messages. */
+/** The sets that all entry and control processes share, by the name of their messages. */
 export type SharedTopic = 'quarantine' | 'limits';
 
-/** News of any of it. */
+/** An update of a shared set. */
 export type SharedUpdate = QuarantineNews | LimitNews;
 
-/** What a control process tells of one process attached to it. */
+/** Status of an attached process, as its control process reports it. */
 export interface AttachedStatus {
   readonly id: string;
   readonly appliedIndex: number;
 }
 
-/** A process attached, with the sender of what is bulky or must stay in order. */
+/** An attached process, with a sender for messages that are large or must stay in order. */
 interface AttachedProcess {
   readonly link: TransportLink;
   readonly sender: PartsSender;
   readonly record: MemberRecord;
 }
 
-/** Sends at a pace that stays inside the receiver's budget. */
+/** Creates a sender whose rate stays within the receiver's budget. */
 function rateLimitedSender(link: TransportLink, now: () => number): PartsSender {
   let pacing = initTokenBucket(now());
   return new PartsSender(link, (bytes) => {
@@ -86,7 +86,7 @@
   });
 }
 
-/** The attached processes of one control process. */
+/** The hub of one control process. */
 export class DaemonHub {
   readonly #options: HubOptions;
 
@@ -94,10 +94,10 @@
 
   readonly #appliedIndexes = new Map<string, number>();
 
-  /** Requests that endpoints have ended under, as the entry processes tell. */
+  /** Requests during which endpoints crashed, as reported by entry processes. */
   readonly quarantine: DaemonQuarantine;
 
-  /** Limits that endpoints have named, as the entry processes tell. */
+  /** Limits that endpoints have declared, as reported by entry processes. */
   readonly #limits: DaemonLimits;
 
   #membership: MembershipState = EMPTY_MEMBERSHIP;
@@ -128,17 +128,17 @@
     return this.#rollout;
   }
 
-  /** Members attached here, for a peer whose link is new. */
+  /** Records of the processes attached here, for a peer whose link is new. */
   get attached(): readonly MemberRecord[] {
     return attachedRecords(this.#membership);
   }
 
-  /** What the processes attached here have in force. */
+  /** Index of the configuration that each attached process has in force. */
   get attachedStatus(): readonly AttachedStatus[] {
     return [...this.#appliedIndexes].map(([id, appliedIndex]) => ({ id, appliedIndex }));
   }
 
-  /** Methods for entry and endpoint processes. */
+  /** Link methods that entry and endpoint processes call. */
   get handlers(): LinkHandlers {
     return {
       'member.hello': (params, link) => this.#onHello(params as HelloMessage, link),
@@ -164,19 +164,19 @@
     };
   }
 
-  /** The log's configuration has changed. */
+  /** Called when the log's configuration has changed. */
   onControlState(state: ControlState): void {
     this.#stepRollout({ type: 'config', config: state.config, deltas: state.deltas });
   }
 
-  /** A quorum has confirmed the log's configuration. */
+  /** Called when a quorum has confirmed the log's configuration. */
   onConfirmed(): void {
     this.#stepRollout({ type: 'confirmed' });
   }
 
   /**
-   * Takes the heartbeat of an endpoint that has no process of ours. Only a change travels: a beat
-   * that says nothing new renews the lease here.
+   * Handles the heartbeat of an endpoint that runs no process of ours. Only changes are published: a heartbeat
+   * without one just renews the lease here.
    */
   onHeartbeat(record: MemberRecord): void {
     const known = this.#membership.directory.get(record.id);
@@ -188,20 +188,21 @@
     this.#stepMembership(same ? { type: 'heard', ids: [record.id] } : { type: 'hello', record });
   }
 
-  /** An endpoint that has no process of ours has said farewell. */
+  /** Handles the departure of an endpoint that runs no process of ours. */
   onDeparture(record: MemberRecord): void {
     this.#stepMembership({ type: 'announce', record });
   }
 
   /**
-   * Tells those attached here which control processes there are now: who came before the one of its AZ moves there.
+   * Sends the current control processes to the processes attached here, so that those that attached before the
+   * control process of their AZ was up move to it.
    */
   onControlsChanged(): void {
     const controls = this.#options.controls();
     this.#processes.forEach(({ link }) => link.notify('controls', controls));
   }
 
-  /** Passes a group's load on to the entry processes attached here. */
+  /** Forwards the load of a group to the entry processes attached here. */
   onGroupLoad(load: GroupLoad): void {
     this.#processes.forEach(({ link, record }) => {
       if (record.role === 'entry') {
@@ -210,12 +211,15 @@
     });
   }
 
-  /** News from another control process. */
+  /** Handles member records from another control process. */
   onPeerDirectory(from: string, delta: DirectoryDelta): void {
     this.#stepMembership({ type: delta.full ? 'peerFull' : 'peer', from, records: delta.records });
   }
 
-  /** Renews the leases of those heard, then looks for those that ran out. */
+  /**
+   * Renews the leases of processes that were heard from, expires leases that ran out, and runs the periodic work of
+   * the sets and the rollout.
+   */
   tick(): void {
     const ids = [...this.#processes].flatMap(([id, { link }]) =>
       this.#options.now() - link.heardAt < LINK_STALE_MS ? [id] : [],
@@ -233,14 +237,17 @@
       this.#appliedIndexes.delete(link.peer);
       this.#stepRollout({ type: 'unsubscribe', id: link.peer });
       this.#detectExit(link.peer).catch((err: unknown) => {
-        this.#options.log.warn({ err, member: link.peer }, 'end of a process not looked for');
+        this.#options.log.warn(
+          { err, member: link.peer },
+          'could not find out whether a process has exited',
+        );
       });
     }
   }
 
   /**
-   * Finds out whether a process that may coordinate a group has ended, now that its link has. Its host tells; only a
-   * host of the own AZ is asked, since a partition between AZs may refuse connections in its place.
+   * Finds out whether a process that may coordinate a group has exited after its link closed: its host then refuses
+   * connections. Only processes of the own AZ are probed, since a partition between AZs may refuse connections too.
    */
   async #detectExit(id: string): Promise<void> {
     const known = this.#membership.directory.get(id);
@@ -253,7 +260,7 @@
     const record = this.#membership.directory.get(id);
     const isSame = record?.incarnation === known.incarnation && !this.#processes.has(id);
     if (record !== undefined && isSame && found === 'refused') {
-      this.#options.log.info({ event: 'ended', member: id }, 'a process has ended');
+      this.#options.log.info({ event: 'ended', member: id }, 'a process has exited');
       this.#stepMembership({
         type: 'announce',
         record: { ...record, status: 'gone', ended: true },
@@ -268,7 +275,7 @@
       return reply;
     }
     this.#processes.get(id)?.link.close();
-    // The link's peer is who said hello on it; it can't speak for another.
+    // The link acts for the process that said hello on it, and can't speak for another.
     // eslint-disable-next-line no-param-reassign
     link.peer = id;
     const sender = rateLimitedSender(link, this.#options.now);
@@ -285,13 +292,13 @@
     return { ...reply, controls: this.#options.controls() };
   }
 
-  /** Tells another process all that is held here. */
+  /** Sends all items of the shared sets to another process. */
   sendSharedSets(send: (topic: SharedTopic, update: SharedUpdate) => void): void {
     this.quarantine.sendAll((update) => send('quarantine', update));
     this.#limits.sendAll((update) => send('limits', update));
   }
 
-  /** Takes news of what all processes hold. */
+  /** Handles an update of a shared set; `reply` sends to the process that it came from. */
   onSharedUpdate(
     topic: SharedTopic,
     update: SharedUpdate,
@@ -309,7 +316,10 @@
     this.onSharedUpdate(topic, update, link.peer, (reply) => link.notify(topic, reply));
   }
 
-  /** What an entry process tells goes to all others and all hubs; what a hub tells, to the own entry processes. */
+  /**
+   * Forwards an update. One from an entry process or this process goes to all other entry processes attached here and
+   * to all hubs; one from a hub, only to the entry processes attached here.
+   */
   #publishSharedUpdate(topic: SharedTopic, update: SharedUpdate, from: string | null): void {
     this.#processes.forEach(({ link, record }, id) => {
       if (record.role === 'entry' && id !== from) {
@@ -342,7 +352,7 @@
     records.forEach(({ id, status, incarnation, version }) => {
       this.#options.log.info(
         { event: 'member', member: id, status, incarnation, version },
-        'member',
+        'member record changed',
       );
     });
     this.#processes.forEach(({ sender, record }) => {
@@ -354,8 +364,8 @@
   }
 
   /**
-   * An entry process is told of its own region: work never spills out of it. An endpoint process is
-   * told of its group's other processes.
+   * Records that a process needs. An entry process gets those of its own region, since requests never leave it; an
+   * endpoint process gets those of its group.
    */
   #relevantRecords(
     record: MemberRecord,
@@ -379,7 +389,10 @@
     }
   }
 
-  /** Looks the regions up once a configuration; when they change, entry processes start afresh. */
+  /**
+   * Updates the regions for a new configuration. If they changed, all attached processes get their full directory
+   * again.
+   */
   #updateRegions(): void {
     const regions = regionsOf(this.#rollout.config.entries);
     const text = JSON.stringify([...regions]);
@@ -411,7 +424,7 @@
     }
   }
 
-  /** Gets the newer configuration that a process holds. */
+  /** Fetches the newer configuration that an attached process holds. */
   async #fetchConfig(from: string): Promise<void> {
     const config = await this.#processes.get(from)?.link.request('config.fetch', {});
     if (config !== undefined && config !== null) {
--- a/src/daemon/DaemonHubLink.ts
+++ b/src/daemon/DaemonHubLink.ts
@@ -1,4 +1,4 @@
-/** The link of an entry or endpoint process to a control process, its own AZ's first. */
+/** The link of an entry or endpoint process to a control process, preferably that of its own AZ. */
 import type { Logger } from 'pino';
 import type {
   ConfigDelta,
@@ -16,21 +16,23 @@
 import { TransportLinkClient, withParts, type TransportLink } from '../transport/index.js';
 import type { ControlTarget } from './DaemonSettings.js';
 
-/** A hub that hasn't taken this process in after this long is frozen or out of reach: another is tried. ms. */
+/** Timeout for attaching to a hub, ms. A hub that takes longer is frozen or unreachable, and another is tried. */
 const HELLO_TIMEOUT_MS = 1_200;
 
-/** Parts of one message come at most this far apart: 4 KB at 16 KB a second, twice over. In ms. */
+/**
+ * Maximum gap between two parts of one message, ms: twice the time that 4 KB take at 16 KB a second, and a margin.
+ */
 const PART_TIMEOUT_MS = 600;
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonHubLink}. */
 export interface HubLinkOptions {
-  /** Control processes known from settings, in order of preference. */
+  /** Control processes known from the settings, in order of preference. */
   readonly targets: () => readonly ControlTarget[];
   readonly record: MemberRecord;
   readonly log: Logger;
   readonly signal: AbortSignal;
   readonly random: () => number;
-  /** Takes each configuration; null where this process needs none and is sent none. */
+  /** Called with each configuration; null if this process needs none and is sent none. */
   readonly onConfig: ((config: ConfigState) => void) | null;
   readonly onDirectory: (delta: DirectoryDelta) => void;
   readonly onGroupLoad?: (load: GroupLoad) => void;
@@ -40,7 +42,7 @@
   readonly onAttached?: () => void;
 }
 
-/** Keeps this process attached, announced and up to date. */
+/** Keeps this process attached to a hub, its record announced and its configuration up to date. */
 export class DaemonHubLink {
   readonly #options: HubLinkOptions;
 
@@ -50,10 +52,10 @@
 
   #config: ConfigState = EMPTY_CONFIG;
 
-  /** When a part of a large message last came, ms on the local monotonic clock. */
+  /** When a part of a large message was last received, ms on the local monotonic clock. */
   #partReceivedAt = -Infinity;
 
-  /** Control processes that the one attached to last has told of. */
+  /** Control processes reported by the one that this process attached to last. */
   #controls: readonly ControlAddress[] = [];
 
   constructor(options: HubLinkOptions) {
@@ -83,7 +85,7 @@
       onFailure: (failure) =>
         options.log.info({ event: 'hub_unreached', ...failure }, 'attempt at a hub failed'),
       onSearched: (result) =>
-        options.log.info({ event: 'hub_search', ...result }, 'search for a hub ended'),
+        options.log.info({ event: 'hub_search', ...result }, 'search for a hub finished'),
     });
   }
 
@@ -100,7 +102,7 @@
     return this.#client.link !== null;
   }
 
-  /** Whether a large message is on its way here: its parts are paced. */
+  /** Whether a large message is being received; its parts are sent at a limited rate. */
   get isReceiving(): boolean {
     return performance.now() - this.#partReceivedAt < PART_TIMEOUT_MS;
   }
@@ -111,7 +113,7 @@
     this.#client.notify('member.announce', this.#record);
   }
 
-  /** Sends without an answer; lost while there is no link. */
+  /** Sends a notification; it is lost while there is no link. */
   notify(method: string, params: unknown): void {
     this.#client.notify(method, params);
   }
@@ -121,28 +123,28 @@
     return this.#client.request(method, params, timeoutMs);
   }
 
-  /** Asks the control process for a sign of life. */
+  /** Checks that the control process responds. Rejects after `timeoutMs`. */
   async ping(timeoutMs: number): Promise<void> {
     await this.#client.ping(timeoutMs);
   }
 
-  /** Looks for another control process while the link stays, until {@link endSearch}. */
+  /** Searches for another control process while the current link stays, until {@link endSearch}. */
   searchOther(): void {
     this.#client.searchOther();
   }
 
-  /** The control process is of use: no other is looked for. */
+  /** Ends the search for another control process, as the current one is usable. */
   endSearch(): void {
     this.#client.stopSearch();
   }
 
-  /** Has the control process send again all that came after the configuration held. */
+  /** Asks the control process to send again everything after the configuration held here. */
   requestConfigResend(): void {
     this.notify('config.gap', { held: this.#config.index });
   }
 
   async #hello(link: TransportLink): Promise<void> {
-    // A new version refutes a `gone` that was said while this process wasn't heard.
+    // A higher version overrides a `gone` that was published while this process was unreachable.
     this.#record = { ...this.#record, version: this.#record.version + 1 };
     const configIndex = this.#options.onConfig === null ? null : this.#config.index;
     const hello: HelloMessage = { record: this.#record, configIndex };
@@ -158,8 +160,8 @@
   }
 
   /**
-   * Those of the own AZ first, then the others, each in an order of this process's own: settings name
-   * some of the control processes, and these tell of the rest.
+   * The control processes of the own AZ first, then the others, each part in an order that differs between processes.
+   * Settings name only some of the control processes, and these report the others.
    */
   #targets(): readonly ControlTarget[] {
     const { record } = this.#options;
@@ -177,10 +179,10 @@
   }
 
   /**
-   * Puts a configuration in force; true if that worked.
+   * Puts a configuration in force; returns whether that worked.
    *
-   * Failure: a control process of another version accepts what this one can't read. Symptom: the older configuration
-   * stays in force and nothing tells why. Enough: it is logged here, and never reported as applied.
+   * A control process of another version may accept a configuration that this one can't read. The older one then
+   * stays in force; that is logged, and the new one is never reported as applied.
    */
   #apply(config: ConfigState): boolean {
     try {
@@ -196,8 +198,8 @@
   }
 
   /**
-   * Takes a delta and answers on the link that it came by: it can come before the reply to `hello`,
-   * when the client doesn't count the link as up, and the answer would be lost.
+   * Applies a delta and replies on the link on which it arrived. It can arrive before the reply to `hello`, when the
+   * client doesn't consider the link up yet and would drop the message.
    */
   #onConfig(delta: ConfigDelta, link: TransportLink): void {
     const { state, result } = applyConfigDelta(this.#config, delta);
@@ -212,7 +214,10 @@
   }
 }
 
-/** Puts the control process of the own AZ first: it shares a switch and survives a cut with us. */
+/**
+ * Puts the control process of the own AZ first: it is behind the same switch, and stays reachable when the AZ is cut
+ * off.
+ */
 export function preferOwnZone(
   targets: readonly ControlTarget[],
   own: string | undefined,
--- a/src/daemon/DaemonLimits.ts
+++ b/src/daemon/DaemonLimits.ts
@@ -1,4 +1,4 @@
-/** Task of an entry or control process that holds the limits that endpoints have named, and exchanges them. */
+/** Holds the limits that endpoints have declared, in an entry or control process, and exchanges them with others. */
 import {
   dropExpiredLimits,
   hashLimits,
@@ -22,16 +22,16 @@
   toUpdates: toLimitUpdates,
 };
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonLimits}. */
 export interface LimitsOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
-  /** Sends to the processes that this one tells, but for the one that the news came from. */
+  /** Sends an update to all connected processes but the one that it came from; `from` is null for an own change. */
   readonly publish: (update: LimitNews, from: string | null) => void;
-  /** Called each time that the set is another one. */
+  /** Called after each change of the set. */
   readonly onStateChange?: () => void;
 }
 
-/** The set of one process. */
+/** The limits known to one process. */
 export class DaemonLimits {
   readonly #set: DaemonSharedSet<LimitsState, EndpointLimit, LimitNews>;
 
@@ -54,22 +54,22 @@
     return this.#set.state;
   }
 
-  /** Takes a change that this process has found out itself. */
+  /** Applies a change that this process has detected itself. */
   apply(step: LimitsStep): void {
     this.#set.apply(step);
   }
 
-  /** Takes news of another process, and answers with the whole set where that process holds another. */
+  /** Merges an update from another process, and replies with the whole set if that process holds a different one. */
   onUpdate(update: LimitNews, from: string, reply: SendUpdate<LimitNews>): void {
     this.#set.onUpdate(update, from, reply);
   }
 
-  /** Sends the whole set to a process that this one has just met. */
+  /** Sends the whole set to a newly connected process. */
   sendAll(send: SendUpdate<LimitNews>): void {
     this.#set.sendAll(send);
   }
 
-  /** Forgets what is old, and has others compare their sets with this one. */
+  /** Drops expired limits, and has others compare their sets with this one. */
   tick(): void {
     this.#set.tick();
   }
--- a/src/daemon/DaemonMain.ts
+++ b/src/daemon/DaemonMain.ts
@@ -1,4 +1,4 @@
-/** `laburnumgauged`: one daemon, with a role by setting. */
+/** `laburnumgauged`: one daemon, whose role is its subcommand. */
 import { Builtins, Cli, Command, Option, type BaseContext } from 'clipanion';
 import { FindingsError, formatFinding, type Role } from '../protocol/index.js';
 import { waitForAbort, createRuntime, type Runtime } from './DaemonRuntime.js';
@@ -10,7 +10,7 @@
   type SettingsOf,
 } from './DaemonSettings.js';
 
-/** Exit code for settings that don't hold. */
+/** Exit code for invalid settings. */
 const EXIT_SETTINGS = 2;
 
 type Run<R extends Role> = (
@@ -19,7 +19,7 @@
   signal: AbortSignal,
 ) => Promise<void>;
 
-/** Each role loads only what it uses: memory is counted per process. */
+/** Each role is imported only when it runs, to save memory in each process. */
 const ROLES: { readonly [R in Role]: () => Promise<Run<R>> } = {
   control: async () => (await import('./DaemonControl.js')).runControl,
   entry: async () => (await import('./DaemonEntry.js')).runEntry,
@@ -59,7 +59,7 @@
   return Number(process.exitCode ?? 0);
 }
 
-/** Makes the command of a role: each setting is a flag, or else an environment variable. */
+/** Creates the command of a role: each setting is a flag, or else an environment variable. */
 function makeCommand(role: Role) {
   const names = settingNames(role);
   return class RoleCommand extends Command {
@@ -88,6 +88,6 @@
 (['control', 'entry', 'endpoint'] as const).forEach((role) => cli.register(makeCommand(role)));
 cli.register(Builtins.HelpCommand);
 process.exitCode = await cli.run(process.argv.slice(2));
-// All work is done; idle connections that callers keep alive must not hold the process.
+// All work is done; idle keep-alive connections of callers must not keep the process running.
 // eslint-disable-next-line n/no-process-exit
 process.exit();
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -1,4 +1,4 @@
-/** Task of an entry or control process that holds the set of suspects and exchanges it with others. */
+/** Holds the set of suspect requests in an entry or control process, and exchanges it with others. */
 import {
   clearSuspect,
   EMPTY_QUARANTINE,
@@ -18,7 +18,7 @@
 import type { Runtime } from './DaemonRuntime.js';
 import { DaemonSharedSet, type SendUpdate, type SharedSetRules } from './DaemonSharedSet.js';
 
-/** Sends a message to one other process. */
+/** Sends an update to one other process. */
 export type SendQuarantineUpdate = SendUpdate<QuarantineNews>;
 
 const RULES: SharedSetRules<QuarantineState, Suspect, QuarantineNews> = {
@@ -30,14 +30,14 @@
   toUpdates: toQuarantineUpdates,
 };
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonQuarantine}. */
 export interface QuarantineOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
-  /** Sends to the processes that this one tells, but for the one that the news came from. */
+  /** Sends an update to all connected processes but the one that it came from; `from` is null for an own change. */
   readonly publish: (update: QuarantineNews, from: string | null) => void;
 }
 
-/** The set of one process. */
+/** The suspect requests known to one process. */
 export class DaemonQuarantine {
   readonly #options: QuarantineOptions;
 
@@ -59,17 +59,17 @@
     });
   }
 
-  /** All suspects that ends are held against. */
+  /** All suspects with at least one counted crash. */
   get suspects(): readonly Suspect[] {
     return [...this.#set.state.values()].filter((suspect) => crashCount(suspect) > 0);
   }
 
-  /** Whether a customer has suspects: without any there is nothing to compare its requests with. */
+  /** Whether a customer has suspects. Without any, its requests need not be compared. */
   hasSuspects(customer: string): boolean {
     return this.#customers.has(customer);
   }
 
-  /** Ends held against a request. */
+  /** Number of crashes counted against a request. */
   crashCount(digest: string): number {
     const suspect = this.#set.state.get(digest);
     return suspect === undefined ? 0 : crashCount(suspect);
@@ -81,7 +81,7 @@
     return Math.max(0, endedAt + SUSPECT_RETENTION_MS - this.#options.runtime.now());
   }
 
-  /** Calls a listener after each change; the result takes it off again. */
+  /** Calls a listener after each change of items; returns a function that unregisters it. */
   registerListener(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
@@ -93,34 +93,34 @@
     );
   }
 
-  /** Releases a request; true if anything was held against it. */
+  /** Releases a request; returns whether any crash was counted against it. */
   clear(digest: string): boolean {
     const step = clearSuspect(this.#set.state, digest);
     this.#set.apply(step);
     return step.changed.length > 0;
   }
 
-  /** Takes news of another process, and answers with the whole set where that process holds another. */
+  /** Merges an update from another process, and replies with the whole set if that process holds a different one. */
   onUpdate(update: QuarantineNews, from: string, reply: SendQuarantineUpdate): void {
     this.#set.onUpdate(update, from, reply);
   }
 
-  /** Sends the whole set to a process that this one has just met. */
+  /** Sends the whole set to a newly connected process. */
   sendAll(send: SendQuarantineUpdate): void {
     this.#set.sendAll(send);
   }
 
-  /** Forgets what is old, and has others compare their sets with this one. */
+  /** Drops expired suspects, and has others compare their sets with this one. */
   tick(): void {
     this.#set.tick();
   }
 
-  /** One line for what is told of several requests: all that was in progress at an endpoint is suspected. */
+  /** Logs one line for all changed suspects, as all requests in progress at a crashed endpoint change together. */
   #onChanged(changed: readonly Suspect[], from: string | null): void {
     const requests = changed.map((suspect) => `${suspect.digest}=${crashCount(suspect)}`);
     this.#options.runtime.log.info(
       { event: 'suspects', from, requests, held: this.#set.state.size },
-      'ends held against requests',
+      'suspect requests changed',
     );
     this.#listeners.forEach((listener) => listener());
   }
--- a/src/daemon/DaemonQuarantineApi.ts
+++ b/src/daemon/DaemonQuarantineApi.ts
@@ -1,4 +1,6 @@
-/** The part of the administration API that lists requests endpoints have ended under, and releases them. */
+/**
+ * The part of the administration API that lists suspect requests, during which endpoints crashed, and releases them.
+ */
 import type Koa from 'koa';
 import type { Context } from 'koa';
 import { crashCount } from '../coordination/index.js';
@@ -29,7 +31,7 @@
     : { error: `nothing is held against a request with digest ${digest}` };
 }
 
-/** Adds the calls to an application; all others go on to the next handler. */
+/** Adds the quarantine API to an application; all other calls go on to the next handler. */
 export function addQuarantineApi(app: Koa, quarantine: DaemonQuarantine): void {
   app.use(async (ctx, next) => {
     const [, digest] = RELEASE_PATH.exec(ctx.path) ?? [];
--- a/src/daemon/DaemonRuntime.ts
+++ b/src/daemon/DaemonRuntime.ts
@@ -1,4 +1,4 @@
-/** What every role shares: log, clock, randomness, metrics and the signals of its life. */
+/** What every role uses: log, clock, randomness, metrics, and helpers for abort signals. */
 import { randomInt } from 'node:crypto';
 import { pino, type Logger } from 'pino';
 import { collectDefaultMetrics, Counter, Registry } from 'prom-client';
@@ -7,34 +7,34 @@
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import type { ClockReading } from '../coordination/index.js';
 
-/** Shared means of one process. */
+/** Dependencies shared by all parts of one process. */
 export interface Runtime {
   readonly log: Logger;
   readonly registry: Registry;
-  /** Generator of all decisions of this process; its seed is in the log. */
+  /** Generator for all random decisions of this process; its seed is in the log. */
   readonly rng: RandomGenerator;
   /** ms on the local monotonic clock. */
   readonly now: () => number;
-  /** Both clocks at once, for leases that must not outlast a suspended host. */
+  /** Both clocks read at once, for leases that must not outlast a suspended host. */
   readonly clocks: () => ClockReading;
-  /** Number from 0 to 1. */
+  /** Random number from 0 to 1. */
   readonly random: () => number;
-  /** Incarnation of this process: rises with each start, as far as the clock does. */
+  /** Incarnation of this process: its start time, so it rises with each start unless the clock goes back. */
   readonly incarnation: number;
 }
 
-/** Bytes of log lines that are written at once, and how long fewer wait, ms. */
+/** How many bytes of log lines are written at once, and how long fewer may wait, ms. */
 const LOG_BATCH_BYTES = 4_096;
 const LOG_FLUSH_MS = 200;
 
-/** Bytes of log lines kept while nobody reads them; later lines are dropped. */
+/** How many bytes of log lines are kept while nobody reads them; later lines are dropped. */
 const LOG_BUFFER_MAX_BYTES = 1_048_576;
 
 /**
- * Standard output for the log.
+ * Opens standard output for the log.
  *
- * Failure: whoever reads the log stops reading. Symptom: a write blocks, and every request with it.
- * Enough: lines are written in the background, and dropped and counted once a megabyte waits.
+ * If the reader of the log stops reading, a synchronous write would block, and every request with it. So lines are
+ * written in the background, and are dropped and counted once a megabyte is waiting.
  */
 function openLog(registry: Registry): ReturnType<typeof pino.destination> {
   const out = pino.destination({
@@ -51,17 +51,17 @@
   setInterval(() => out.flush(), LOG_FLUSH_MS).unref();
   process.once('exit', () => {
     try {
-      // The process ends with this event: nothing asynchronous would be carried out any more.
+      // The process exits after this event, so asynchronous writes would no longer be carried out.
       // eslint-disable-next-line n/no-sync
       out.flushSync();
     } catch {
-      // Nothing can be written any more, and nobody is left to tell.
+      // Nothing can be written any more, not even this error.
     }
   });
   return out;
 }
 
-/** Makes the means of a process. */
+/** Creates the runtime of a process. */
 export function createRuntime(id: string, role: string, level: string): Runtime {
   const seed = randomInt(2 ** 31);
   const rng = xoroshiro128plus(seed);
@@ -83,18 +83,17 @@
   };
 }
 
-/** Runs a task at an interval until the signal. */
+/** Runs a task at an interval until the signal aborts. */
 export function runEvery(ms: number, signal: AbortSignal, task: () => void): void {
   const timer = setInterval(task, ms);
   signal.addEventListener('abort', () => clearInterval(timer), { once: true });
 }
 
 /**
- * Resolves once the signal has come.
+ * Resolves once the signal has aborted, also if that was before this call.
  *
- * Failure: a process is told to stop while it is still starting, before anything listens to the signal.
- * Symptom: it never leaves, and is killed by force with streams on it. Enough: a signal that has come
- * already counts.
+ * A process may be told to stop while it is still starting, before anything listens to the signal. If that were
+ * missed, it would never leave, and would be killed by force with streams in progress.
  */
 export async function waitForAbort(signal: AbortSignal): Promise<void> {
   if (!signal.aborted) {
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -1,6 +1,6 @@
 /**
- * Screens the requests of an entry process: finds out under which of them endpoints end, and says which must be sent
- * to none. Asked once before each send, whatever the send is for.
+ * Screens the requests of an entry process: finds out during which of them endpoints crash, and which must therefore
+ * not be sent. It is consulted before each send, whatever the reason for the send.
  */
 import {
   incarnationKeyOf,
@@ -21,18 +21,18 @@
 import { DaemonQuarantine, type SendQuarantineUpdate } from './DaemonQuarantine.js';
 import type { Runtime } from './DaemonRuntime.js';
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonScreening}. */
 export interface ScreeningOptions {
   readonly runtime: Runtime;
   readonly metrics: EntryMetrics;
-  /** Sends news to the control process; lost while there is no link. */
+  /** Sends an update to the control process; lost while there is no link. */
   readonly send: SendQuarantineUpdate;
 }
 
-/** Name under which the control process's news are taken: there is one at a time. */
+/** Sender name for all updates from control processes: only one is attached at a time. */
 const HUB = 'hub';
 
-/** The task. */
+/** Screens the requests of one entry process. */
 export class DaemonScreening {
   readonly #options: ScreeningOptions;
 
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Whether a request must be sent to no endpoint: so many have ended under it. */
+  /** Whether a request must not be sent: at least `quarantineCrashes` endpoints have crashed during it. */
   isQuarantined(identity: RequestIdentity, quarantineCrashes: number): boolean {
     return (
       this.#quarantine.hasSuspects(identity.customer) &&
@@ -73,22 +73,25 @@
     );
   }
 
-  /** Time after which a request that is held may be sent again, ms. */
+  /** Time after which a quarantined request may be sent again, ms. */
   quarantinedForMs(identity: RequestIdentity): number {
     return this.#quarantine.quarantinedForMs(this.#digest(identity));
   }
 
-  /** Writes down that a request was not sent since it is held. */
+  /** Logs that a request was not sent because it is quarantined. */
   logQuarantined(identity: RequestIdentity, request: string): void {
     const digest = this.#digest(identity);
     const ends = this.#quarantine.crashCount(digest);
     this.#options.runtime.log.info(
       { event: 'held', request, digest, ends },
-      'not sent: endpoints have ended under this request',
+      'not sent: endpoints have crashed during this request',
     );
   }
 
-  /** Calls once a request in progress is held; the result ends that. */
+  /**
+   * Calls `onQuarantined` after each update that leaves the request quarantined; returns a function that unregisters
+   * it.
+   */
   registerQuarantineListener(
     identity: RequestIdentity,
     quarantineCrashes: number,
@@ -102,9 +105,9 @@
   }
 
   /**
-   * The connection to an endpoint has ended under a request. Resolves once it is known, as far as it can be, whether
-   * the endpoint has. What endpoints have answered whole a short while ago isn't suspected: a call that comes all the
-   * time is in progress wherever an endpoint ends.
+   * Handles a lost connection to an endpoint during a request. Resolves once it is known, as far as possible, whether
+   * the endpoint crashed. A request that endpoints answered completely a short while ago isn't suspected: one that is
+   * sent all the time is in progress wherever an endpoint crashes.
    */
   async onConnectionLost(
     endpoint: MemberRecord,
@@ -116,7 +119,9 @@
     }
   }
 
-  /** A gate has seen its engine end under a request; it counts the engine's lives. */
+  /**
+   * Handles the crash of an engine during a request, reported by its gate, which counts the engine's incarnations.
+   */
   onEngineCrash(
     endpoint: MemberRecord,
     engineOrdinal: number,
@@ -131,7 +136,7 @@
     }
   }
 
-  /** A request was answered whole: nothing is held against it any longer. */
+  /** Records a complete answer, which clears the request of all crashes counted so far. */
   onAnswered(identity: RequestIdentity): void {
     this.#recentAnswers = rememberAnswer(
       this.#recentAnswers,
@@ -143,17 +148,17 @@
     }
   }
 
-  /** Takes news of members; `isNew` tells whether an id was unknown before them. */
+  /** Handles changed member records; `isNew` tells whether an id was unknown before them. */
   onMembers(records: readonly MemberRecord[], isNew: (id: string) => boolean): void {
     this.#crashes.onMembers(records, isNew);
   }
 
-  /** Takes the control process's news. */
+  /** Handles an update from the control process. */
   onUpdate(update: QuarantineNews): void {
     this.#quarantine.onUpdate(update, HUB, this.#options.send);
   }
 
-  /** A new link to a control process is up: it is told all that is held here. */
+  /** Sends the whole set to the control process on a new link. */
   onAttached(): void {
     this.#quarantine.sendAll(this.#options.send);
   }
--- a/src/daemon/DaemonSettings.ts
+++ b/src/daemon/DaemonSettings.ts
@@ -1,17 +1,17 @@
-/** Settings: flags and environment, checked together before anything starts. */
+/** Settings from flags and environment variables, all checked before anything starts. */
 import * as z from 'zod';
 import { FindingsError, type Finding, type Role } from '../protocol/index.js';
 import { parseAddress, type Address } from '../transport/index.js';
 
-/** Raw settings by name, as flags and environment gave them. */
+/** Unchecked settings by name, from flags and environment variables. */
 export type RawSettings = Readonly<Record<string, string | undefined>>;
 
-/** Environment variable of a setting. */
+/** Name of the environment variable of a setting. */
 export function envName(setting: string): string {
   return `LABURNUMGAUGE_${setting.toUpperCase().replaceAll('-', '_')}`;
 }
 
-/** A control process by name. */
+/** Name and address of a control process. */
 export interface ControlTarget {
   readonly name: string;
   readonly address: Address;
@@ -108,7 +108,7 @@
   return Object.keys(SCHEMAS[role].shape);
 }
 
-/** Checks what one setting alone can't show. */
+/** Checks what involves several settings. */
 function crossCheck(role: Role, raw: RawSettings): readonly Finding[] {
   const controlNames = (raw.control ?? '').split(',').map((part) => part.split('=')[0]);
   const isUnlisted = role === 'control' && raw.id !== undefined && !controlNames.includes(raw.id);
@@ -126,7 +126,7 @@
 /**
  * Checks all settings of a role.
  *
- * @throws {FindingsError} with every finding, each at its flag and environment variable.
+ * @throws {FindingsError} with every finding, each naming its flag and environment variable.
  */
 export function checkSettings<R extends Role>(role: R, raw: RawSettings): SettingsOf[R] {
   const parsed = SCHEMAS[role].safeParse(raw);
--- a/src/daemon/DaemonSharedSet.ts
+++ b/src/daemon/DaemonSharedSet.ts
@@ -1,48 +1,48 @@
 /**
- * A set that all entry and control processes hold alike: each tells the others of its changes, and whole sets are
- * compared and exchanged where they differ. What is in it, and how two of them merge, its rules say.
+ * A set that all entry and control processes share: each sends its changes to the others, and whole sets are
+ * exchanged where their hashes differ. The rules of a set define its items and how two sets merge.
  */
 
-/** How often whole sets are compared by their hashes: within the time that news may take, thrice over. In ms. */
+/** How often whole sets are compared by their hashes, ms: three times within the time that an update may take. */
 const COMPARE_INTERVAL_MS = 1_000;
 
-/** A whole set is sent to one process at most this often, ms. */
+/** Minimum interval between two replies with the whole set to the same process, ms. */
 const FULL_SEND_INTERVAL_MS = 300;
 
-/** Sends a message to one other process. */
+/** Sends an update to one other process. */
 export type SendUpdate<Update> = (update: Update) => void;
 
-/** A set after a change, with the items that are news. */
+/** A set after a change, with the items that changed. */
 export interface SharedSetStep<State, Item> {
   readonly state: State;
   readonly changed: readonly Item[];
 }
 
-/** What the set is made of; `merge` must not depend on the order or the repetition of news. */
+/** Rules of a set. `merge` must not depend on the order or repetition of updates. */
 export interface SharedSetRules<State, Item, Update> {
   readonly empty: State;
   readonly itemsOf: (state: State) => readonly Item[];
-  /** Stands for the whole set; 0 for an empty one. */
+  /** Hash of the whole set; 0 for an empty one. */
   readonly hash: (state: State) => number;
   readonly merge: (state: State, update: Update, now: number) => SharedSetStep<State, Item>;
-  /** Drops what is too old; the same state where nothing is. */
+  /** Drops expired items; returns the same state if there are none. */
   readonly dropExpired: (state: State, now: number) => State;
-  /** Items as they are told, in messages of a bounded size; one at least. */
+  /** Messages of bounded size with the items and the hash of the set; at least one message, even without items. */
   readonly toUpdates: (state: State, items: readonly Item[], now: number) => readonly Update[];
 }
 
-/** What the task needs. */
+/** Dependencies of {@link DaemonSharedSet}. */
 export interface SharedSetOptions<Item, Update> {
   readonly now: () => number;
-  /** Sends to the processes that this one tells, but for the one that the news came from. */
+  /** Sends an update to all connected processes but the one that it came from; `from` is null for an own change. */
   readonly publish: (update: Update, from: string | null) => void;
-  /** Called once changes are published; `from` is null for this process's own. */
+  /** Called after changes are published; `from` is null for an own change. */
   readonly onChanged: (changed: readonly Item[], from: string | null) => void;
-  /** Called each time that the set is another one. */
+  /** Called after each change of the set. */
   readonly onStateChange?: () => void;
 }
 
-/** The set of one process. */
+/** The set as held by one process. */
 export class DaemonSharedSet<State, Item, Update extends { readonly hash: number }> {
   readonly #rules: SharedSetRules<State, Item, Update>;
 
@@ -50,7 +50,7 @@
 
   #state: State;
 
-  /** When another process was last sent the whole set, ms. */
+  /** When the whole set was last sent to another process in reply, ms, by its name. */
   readonly #allSentAt = new Map<string, number>();
 
   #comparedAt = -Infinity;
@@ -65,7 +65,7 @@
     return this.#state;
   }
 
-  /** Takes a change of this process's own, or of another's news. */
+  /** Applies a change of this process or one from an update of the process `from`. */
   apply({ state, changed }: SharedSetStep<State, Item>, from: string | null = null): void {
     this.#replace(state);
     if (changed.length > 0) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Takes news of another process, and answers with the whole set where that process holds another. */
+  /** Merges an update from another process, and replies with the whole set if that process holds a different one. */
   onUpdate(update: Update, from: string, reply: SendUpdate<Update>): void {
     const now = this.#options.now();
     this.apply(this.#rules.merge(this.#state, update, now), from);
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Sends the whole set to a process that this one has just met. */
+  /** Sends the whole set to a newly connected process. */
   sendAll(send: SendUpdate<Update>): void {
     if (this.#items.length > 0) {
       this.#toUpdates(this.#items).forEach(send);
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Forgets what is old, and has others compare their sets with this one: news gets lost with a hub that dies, a
-   * partition or a process that stood still.
+   * Drops expired items, and has others compare their sets with this one: updates are lost when a hub crashes, in a
+   * partition, or while a process is suspended.
    */
   tick(): void {
     const now = this.#options.now();
--- a/src/daemon/DaemonTestSwitch.ts
+++ b/src/daemon/DaemonTestSwitch.ts
@@ -1,26 +1,26 @@
-/** Test switch: cuts this process off from peers by name, silently. Off unless a setting says so. */
+/** Test switch that silently cuts this process off from peers by name. Off unless a setting enables it. */
 import type Koa from 'koa';
 import * as z from 'zod';
 import { readBody, type LinkSwitch } from '../transport/index.js';
 
 const cutSchema = z.strictObject({ peers: z.array(z.string()) });
 
-/** Which peers are cut off. */
+/** Tracks which peers are cut off. */
 export class DaemonTestSwitch {
   readonly #enabled: boolean;
 
   #peers: ReadonlySet<string> = new Set();
 
-  /** `cut` names peers to be cut off from the start, for restarts within a cut. */
+  /** `cut` names peers that are cut off from the start, for restarts during a cut. */
   constructor(enabled: boolean, cut: readonly string[]) {
     this.#enabled = enabled;
     this.#peers = new Set(enabled ? cut : []);
   }
 
-  /** Drops everything from and to the peers that are cut off. */
+  /** Whether everything from and to a peer is dropped. */
   readonly isCut: LinkSwitch = (link) => this.#peers.has(link.peer);
 
-  /** Adds `POST /test/cut` to an application, if the switch is enabled. */
+  /** Adds `POST /test/cut` to an application if the switch is enabled. */
   addApi(app: Koa): void {
     if (!this.#enabled) {
       return;
--- a/src/daemon/__tests__/unit/DaemonAnswers.test.ts
+++ b/src/daemon/__tests__/unit/DaemonAnswers.test.ts
@@ -23,10 +23,10 @@
   service: { name: 's', deadlineMs: 2_000, repeatable: false },
 };
 
-/** What a caller gets: status, content type, body and whether that is whole. */
+/** What a caller receives: status, content type, body, and whether the body is complete. */
 type Answer = readonly [number, string | undefined, string, boolean];
 
-/** Writes an answer; what stands in front of the body ends with its empty line. */
+/** Writes an answer to the socket of a connection. */
 type Script = (socket: Socket) => void;
 
 function answer(status: number, lines: readonly string[], body = ''): Script {
@@ -63,7 +63,7 @@
     },
     [200, 'text/event-stream', `data: 1\n\n${DONE}`, true],
   ],
-  'no length, and an end': [
+  'no length, and a closed connection': [
     (socket) => {
       answer(200, [TEXT, 'connection: close'], 'answer')(socket);
       socket.end();
@@ -72,7 +72,7 @@
   ],
 };
 
-describe('answers by entry process and gate', () => {
+describe('answers through entry process and gate', () => {
   const closers: (() => void)[] = [];
 
   afterEach(() => closers.splice(0).forEach((close) => close()));
@@ -171,9 +171,9 @@
     ];
   };
 
-  // Guards against: status, type or body that the engine didn't give, filled in by a library.
+  // Guards against a status, type or body that a library fills in and the engine didn't send.
   Object.entries(CASES).forEach(([name, [script, got]]) => {
-    it(`gives what an engine answered: ${name}`, async () => {
+    it(`delivers what the engine answered: ${name}`, async () => {
       assert.deepEqual(await call(script), got);
     });
   });
@@ -187,20 +187,20 @@
       answer(200, [TEXT, 'content-length: 9'], 'answer')(socket);
       socket.end();
     },
-    'an end without a head': (socket) => socket.end(),
-    'bytes that are none': (socket) => socket.write('no answer\r\n\r\n'),
+    'a closed connection without a head': (socket) => socket.end(),
+    'bytes that are no answer': (socket) => socket.write('no answer\r\n\r\n'),
   };
 
-  // Guards against: a part of an answer, or none, that looks like a success.
+  // Guards against a partial or missing answer that looks like a success.
   Object.entries(BROKEN).forEach(([name, script]) => {
-    it(`says that nobody can tell: ${name}`, async () => {
+    it(`reports an unknown outcome: ${name}`, async () => {
       const [status, , body] = await call(script);
       assert.deepEqual([status, /"code":"(\w+)"/.exec(body)?.[1]], [502, 'outcome_unknown']);
     });
   });
 
-  // Guards against: a stream without its final event looks finished.
-  it('lets no stream without its final event look finished', async () => {
+  // Guards against a stream without its final event that looks finished.
+  it('ends a stream without its final event with an error event', async () => {
     const [status, , body] = await call((socket) => {
       answer(200, [STREAM, 'connection: close'])(socket);
       socket.end();
--- a/src/daemon/__tests__/unit/DaemonCoalescedRead.test.ts
+++ b/src/daemon/__tests__/unit/DaemonCoalescedRead.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { CoalescedRead } from '../../DaemonCoalescedRead.js';
 
-/** A source whose reads are answered by hand. */
+/** A source whose reads the test resolves or rejects. */
 class Source {
   readonly pending: { answer: (value: number) => void; fail: (err: Error) => void }[] = [];
 
@@ -18,10 +18,10 @@
   });
 }
 
-describe('SharedRead', () => {
-  // An entry process asks while a read for others is under way, begun before a key was withdrawn. Given
-  // that answer, it would take its configuration for the newest though the withdrawal is newer.
-  it('never gives an answer that was asked for before the caller asked', async () => {
+describe('CoalescedRead', () => {
+  // An entry process reads while another read is in progress that began before a key was withdrawn. If it got that
+  // result, it would take its configuration for the newest although the withdrawal is newer.
+  it('never returns the result of a read that started before the call', async () => {
     const source = new Source();
     const shared = new CoalescedRead(source.read);
     const first = shared.read();
@@ -35,7 +35,7 @@
     assert.deepEqual(await Promise.all([first, second, third]), [1, 2, 2]);
   });
 
-  it('goes on after a read that failed', async () => {
+  it('continues after a read that failed', async () => {
     const source = new Source();
     const shared = new CoalescedRead(source.read);
     const first = shared.read();
--- a/src/daemon/__tests__/unit/DaemonConsensus.test.ts
+++ b/src/daemon/__tests__/unit/DaemonConsensus.test.ts
@@ -10,7 +10,7 @@
 
 const VOTERS = ['a.1', 'b.1', 'c.1'] as const;
 
-/** Simulated time of one round, ms; the real time that a retry of a disk needs passes beside it. */
+/** Simulated time of one round, ms. In each round real time passes too, which retries of a disk need. */
 const ROUND_MS = 50;
 const REAL_DELAY_MS = 3;
 
@@ -66,7 +66,7 @@
     return VOTERS.find((id) => id !== except && this.task(id).state.role === 'leader');
   }
 
-  /** Lets time pass until a condition holds. */
+  /** Advances time until a condition holds. */
   async runUntil(done: () => boolean): Promise<void> {
     for (let round = 0; round < 400 && !done(); round += 1) {
       this.#now += ROUND_MS;
@@ -93,11 +93,11 @@
 }
 
 describe('DaemonConsensus', () => {
-  // The disk of the leading control host takes no more bytes, or answers nothing for seconds. The operator's
-  // change there gets no clear answer; sent again elsewhere it is accepted, since a replica that can't sync sends
-  // nothing and is taken for down. When the disk is sound again, the host holds what was accepted meanwhile.
+  // The disk of the leader refuses writes, or answers nothing for seconds. A change proposed there gets no result.
+  // Proposed elsewhere it is accepted, since a replica that can't sync sends nothing and is considered down. Once the
+  // disk works again, the replica catches up with what was accepted meanwhile.
   (['full', 'stalled'] as const).forEach((fault) => {
-    it(`gives way while its disk is ${fault}, and takes up what it missed`, async () => {
+    it(`is replaced as leader while its disk is ${fault}, and catches up afterwards`, async () => {
       const replicas = new Replicas();
       await replicas.foundCluster();
       await replicas.runUntil(() => replicas.leader() !== undefined);
--- a/src/daemon/__tests__/unit/DaemonControlService.test.ts
+++ b/src/daemon/__tests__/unit/DaemonControlService.test.ts
@@ -15,7 +15,7 @@
 
 const RECORD = { id: 'rank-1', incarnation: 20, status: 'serving' } as MemberRecord;
 
-/** A leader that was elected just now, of a log that decides at once. */
+/** A leader that was elected just now, whose proposals are committed at once. */
 function openService(record: MemberRecord): DaemonControlService {
   const members = { voters: ['c'], learners: [] };
   const consensus = {
@@ -51,14 +51,14 @@
 }
 
 describe('DaemonControlService', () => {
-  // Guards against: a group without a coordinator for as long as the lease of one that was killed runs.
-  it('grants a lease at once when its holder has ended', async () => {
+  // Guards against a group that has no coordinator until the lease of a killed one runs out.
+  it('grants a lease at once when its holder has exited', async () => {
     const ended: MemberRecord = { ...RECORD, status: 'gone', ended: true };
     assert.equal(await requestAsRival(ended, true), 'granted');
     assert.equal(await requestAsRival({ ...RECORD, incarnation: 40 }, true), 'granted');
   });
 
-  it('waits a lease out when its holder is only silent', async () => {
+  it('waits until a lease runs out when its holder is only unreachable', async () => {
     assert.equal(await requestAsRival({ ...RECORD, status: 'gone' }, false), 'held');
     assert.equal(await requestAsRival(RECORD, true), 'held');
   });
--- a/src/daemon/__tests__/unit/DaemonHubLink.test.ts
+++ b/src/daemon/__tests__/unit/DaemonHubLink.test.ts
@@ -8,7 +8,7 @@
 import { TransportLink } from '../../../transport/index.js';
 import { DaemonHubLink } from '../../DaemonHubLink.js';
 
-/** A control process that takes everybody in, and tells of some others. */
+/** A control process that accepts every process, and reports some other control processes. */
 async function startHub(
   name: string,
   zone: string,
@@ -38,8 +38,9 @@
     stop = new AbortController();
   });
 
-  // Guards against: who starts before the control process of its AZ stays attached in another, and is lost in a cut.
-  it('moves to the control process of its AZ that comes up later', async () => {
+  // Guards against a process that starts before the control process of its AZ, stays attached to another AZ, and is
+  // lost when its AZ is cut off.
+  it('moves to the control process of its AZ when that starts later', async () => {
     const attachedTo: string[] = [];
     const log = pino(
       { level: 'info' },
--- a/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
+++ b/src/daemon/__tests__/unit/DaemonQuarantine.test.ts
@@ -5,9 +5,9 @@
 import { DaemonQuarantine } from '../../DaemonQuarantine.js';
 
 describe('DaemonQuarantine', () => {
-  // Ten minutes after an end its requests are forgotten. If the customer still counted as one with suspects, each of
-  // its requests would be hashed for good, with nothing to compare it with.
-  it('has no suspects of a customer any more once they are forgotten', () => {
+  // Suspects are forgotten ten minutes after the crash. If their customer still counted as one with suspects, each of
+  // its requests would be hashed forever, with nothing to compare it with.
+  it('reports no suspects for a customer once they have expired', () => {
     let now = 0;
     const runtime = { now: () => now, log: pino({ level: 'silent' }) };
     const quarantine = new DaemonQuarantine({ runtime, publish: () => undefined });
--- a/src/daemon/__tests__/unit/DaemonRuntime.test.ts
+++ b/src/daemon/__tests__/unit/DaemonRuntime.test.ts
@@ -4,7 +4,10 @@
 import { describe, it } from 'node:test';
 import { waitForAbort } from '../../DaemonRuntime.js';
 
-/** A process that logs 40 MB at once, then tells on its error output how long that took, and the drops. */
+/**
+ * A process that logs 40 MB at once, then reports on standard error how long that took and how many lines were
+ * dropped.
+ */
 const PROGRAM = `
 import { createRuntime } from '${path.resolve('src/daemon/DaemonRuntime.ts')}';
 const runtime = createRuntime('h', 'entry', 'info');
@@ -21,9 +24,9 @@
 `;
 
 describe('the log', () => {
-  // Whoever reads the log stops reading, so the pipe is full. Callers must not notice: lines are dropped
-  // and counted, and no write waits for the reader.
-  it('never waits for its reader, and counts what it drops', async () => {
+  // If the reader of the log stops reading, the pipe is full. Callers must not notice: lines are dropped and counted,
+  // and no write waits for the reader.
+  it('never waits for its reader, and counts the lines that it drops', async () => {
     const child = spawn(
       process.execPath,
       ['--import', 'tsx', '--input-type=module', '--eval', PROGRAM],
@@ -45,10 +48,10 @@
   });
 });
 
-describe('aborted', () => {
-  // A process is told to stop while it is still starting, and listens to the signal only afterwards. It
-  // must leave all the same, or it is killed by force with callers' streams on it.
-  it('counts a signal that came before anyone listened', async () => {
+describe('waitForAbort', () => {
+  // A process may be told to stop while it is still starting, and listen to the signal only afterwards. If that
+  // signal were missed, it would be killed by force with callers' streams in progress.
+  it('resolves when the signal aborted before the call', async () => {
     const early = new AbortController();
     early.abort();
     await waitForAbort(early.signal);
--- a/src/daemon/__tests__/unit/DaemonSettings.test.ts
+++ b/src/daemon/__tests__/unit/DaemonSettings.test.ts
@@ -19,7 +19,7 @@
 const BASE = { id: 'e1', zone: 'ikeja', http: '127.0.0.1:80', control: 'c1=127.0.0.1:7000' };
 
 describe('checkSettings', () => {
-  it('takes what holds', () => {
+  it('accepts valid settings', () => {
     matchSnapshot(
       'endpoint',
       checkSettings('endpoint', {
@@ -33,7 +33,7 @@
     );
   });
 
-  it('reports all findings together, with flag and variable', () => {
+  it('reports all findings together, with flag and environment variable', () => {
     matchSnapshot('nothing given', findingsOf('control', {}));
     matchSnapshot(
       'all wrong',
--- a/src/daemon/__tests__/utils/FakeDisk.ts
+++ b/src/daemon/__tests__/utils/FakeDisk.ts
@@ -1,5 +1,5 @@
 /** A control host's disk, for tests. */
-/** A disk that can be made to refuse writes, or to answer none until it is sound again. */
+/** A disk that can be made to refuse writes, or to stall them until it is repaired. */
 export class FakeDisk {
   readonly identity: { readonly replica: string };
 
