--- a/src/daemon/DaemonConsensus.ts
+++ b/src/daemon/DaemonConsensus.ts
@@ -27,7 +27,7 @@
 import {
   toJournal,
   recoverJournal,
-  toRecord,
+  toRecords,
   type JournalRecord,
 } from './DaemonConsensusJournal.js';
 
@@ -38,7 +38,7 @@
 const DISK_RETRY_INTERVAL_MS = 150;
 
 /** Dependencies of {@link DaemonConsensus}. */
-export interface ConsensusTaskOptions {
+export interface ConsensusOptions {
   readonly folder: StateDataFolder;
   readonly compactEvery: number;
   readonly log: Logger;
@@ -49,7 +49,7 @@
   readonly onStateChange: (state: ControlState) => void;
 }
 
-type Performers = {
+type OutputHandlers = {
   readonly [T in ConsensusOutput['type']]?: (output: Extract<ConsensusOutput, { type: T }>) => void;
 };
 
@@ -70,7 +70,7 @@
 
 /** A consensus replica. */
 export class DaemonConsensus {
-  readonly #options: ConsensusTaskOptions;
+  readonly #options: ConsensusOptions;
 
   readonly #proposals = new Map() as PendingRequests<ProposalResult>;
 
@@ -80,7 +80,7 @@
   readonly #reads = new Map() as PendingRequests<number | null>;
 
   /** Handlers of the outputs by type, called once all of their batch is synced. */
-  readonly #performers: Performers = {
+  readonly #outputHandlers: OutputHandlers = {
     send: ({ to, message }) => this.#options.send(to, message),
     commit: ({ entries }) => {
       this.#applyEntries(entries);
@@ -114,7 +114,7 @@
 
   #hasFailed = false;
 
-  constructor(options: ConsensusTaskOptions) {
+  constructor(options: ConsensusOptions) {
     this.#options = options;
     const { recovery, commit } = recoverJournal(options.folder.recovered);
     this.#control = (recovery.snapshot.image as ControlState | null) ?? EMPTY_CONTROL;
@@ -237,7 +237,7 @@
       // Batches run one after another: what the next one sends relies on what this one has synced.
       // eslint-disable-next-line no-await-in-loop
       await this.#persistWithRetries(outputs);
-      outputs.forEach((output) => this.#performers[output.type]?.(output as never));
+      outputs.forEach((output) => this.#outputHandlers[output.type]?.(output as never));
       this.#compact();
     }
     this.#isDraining = false;
@@ -286,7 +286,7 @@
       await this.#options.folder.rewrite(toJournal(this.#state));
       return;
     }
-    const records = outputs.flatMap(toRecord);
+    const records = outputs.flatMap(toRecords);
     if (records.length > 0) {
       await this.#options.folder.append(records);
     }
--- a/src/daemon/DaemonConsensusJournal.ts
+++ b/src/daemon/DaemonConsensusJournal.ts
@@ -29,7 +29,7 @@
 };
 
 /** Journal records for an output; none if it needs no sync. */
-export function toRecord(output: ConsensusOutput): readonly JournalRecord[] {
+export function toRecords(output: ConsensusOutput): readonly JournalRecord[] {
   switch (output.type) {
     case 'persistHard':
       return [{ kind: 'hard', ...output.hard }];
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -95,11 +95,11 @@
 }
 
 /** Reads the newest log index from the leader; waits until the time `until` for a leader to be known. */
-async function readIndexAtLeader(cradle: Cradle, until: number): Promise<number | null> {
+async function readIndexAtLeader(cradle: Cradle, waitUntil: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
   const hasLeader = (): boolean =>
     consensus.state.role === 'leader' || consensus.state.leader !== null;
-  while (!hasLeader() && runtime.now() < until) {
+  while (!hasLeader() && runtime.now() < waitUntil) {
     // eslint-disable-next-line no-await-in-loop
     await delay(CATCH_UP_POLL_MS);
   }
@@ -262,7 +262,7 @@
 
 function runTasks(cradle: Cradle): void {
   const { consensus, hub, peers, service, runtime, signal } = cradle;
-  const runLoggingErrors = (task: Promise<void>): void => {
+  const logFailure = (task: Promise<void>): void => {
     task.catch((err: unknown) =>
       runtime.log.debug(
         { err: (err as Error).message },
@@ -282,7 +282,7 @@
   runEvery(CONFIRM_INTERVAL_MS, signal, () => {
     if (!confirming) {
       confirming = true;
-      runLoggingErrors(
+      logFailure(
         confirmUpToDate(cradle).finally(() => {
           confirming = false;
         }),
@@ -290,10 +290,10 @@
     }
   });
   runEvery(CLUSTER_CHECK_INTERVAL_MS, signal, () => {
-    runLoggingErrors(peers.formOrJoinCluster());
+    logFailure(peers.formOrJoinCluster());
   });
   runEvery(VOTER_CHECK_INTERVAL_MS, signal, () => {
-    runLoggingErrors(service.updateVoters());
+    logFailure(service.updateVoters());
   });
 }
 
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -107,7 +107,7 @@
     const { fleet, version } = manifest;
     const digest = digestManifest(manifest);
     const entries = flattenManifest(manifest);
-    const attempt = async (triesLeft: number): Promise<SubmitReply> => {
+    const attempt = async (attemptsLeft: number): Promise<SubmitReply> => {
       // Confirms that this replica leads and has applied everything accepted before.
       if ((await this.#consensus.readIndex()) === null) {
         return { result: 'unavailable', reason: 'no leader with a quorum' };
@@ -125,8 +125,8 @@
         base: control.fleets[fleet]?.version ?? 0,
         ...diffEntries(entriesOfFleet(control.config.entries, fleet), entries),
       });
-      if (result?.result === 'stale' && triesLeft > 1) {
-        return attempt(triesLeft - 1);
+      if (result?.result === 'stale' && attemptsLeft > 1) {
+        return attempt(attemptsLeft - 1);
       }
       return result === null || !('fleet' in result)
         ? {
--- a/src/daemon/DaemonCoordinator.ts
+++ b/src/daemon/DaemonCoordinator.ts
@@ -53,10 +53,10 @@
   #step(input: LeaseInput): void {
     const { state, outputs } = stepLease(this.#state, input, this.#options.now());
     this.#state = state;
-    outputs.forEach((output) => this.#perform(output));
+    outputs.forEach((output) => this.#handleOutput(output));
   }
 
-  #perform(output: LeaseOutput): void {
+  #handleOutput(output: LeaseOutput): void {
     const { group, log } = this.#options;
     if (output.type === 'ask') {
       this.#requestLease(output).catch(() => this.#step({ type: 'failed' }));
--- a/src/daemon/DaemonEntryCall.ts
+++ b/src/daemon/DaemonEntryCall.ts
@@ -46,7 +46,7 @@
   readonly body: Buffer;
 }
 
-type Performers = {
+type OutputHandlers = {
   readonly [T in AttemptOutput['type']]: (output: Extract<AttemptOutput, { type: T }>) => void;
 };
 
@@ -85,7 +85,7 @@
   /** Resolves the promise of `run`. */
   #resolveRun: (() => void) | null = null;
 
-  readonly #performers: Performers = {
+  readonly #outputHandlers: OutputHandlers = {
     route: ({ exclude }) => this.#route(exclude),
     send: ({ endpoint, attempt }) => {
       if (this.#options.state.isQuarantined(this.#identity, endpoint)) {
@@ -160,7 +160,7 @@
 
   #applyStep({ state, outputs }: AttemptStep): void {
     this.#state = state;
-    outputs.forEach((output) => this.#performers[output.type](output as never));
+    outputs.forEach((output) => this.#outputHandlers[output.type](output as never));
   }
 
   #route(exclude: readonly string[]): void {
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -38,7 +38,7 @@
   readonly onDrained: () => void;
 }
 
-interface Hop {
+interface HopHeaders {
   readonly key: string;
   readonly request: string;
   readonly attempt: number;
@@ -49,7 +49,7 @@
   readonly deadlineMs: number;
 }
 
-function readHop(ctx: Context): Hop {
+function readHopHeaders(ctx: Context): HopHeaders {
   const get = (name: string): string => headerOf(ctx.req, name) ?? '';
   const request = get(HOP_HEADERS.request);
   const attempt = Number(get(HOP_HEADERS.attempt));
@@ -127,7 +127,7 @@
   }
 
   #onRevoke(ctx: Context): void {
-    const { key, target } = readHop(ctx);
+    const { key, target } = readHopHeaders(ctx);
     const output = this.step({ type: 'revoke', key, target });
     const state = output?.type === 'revoked' ? output.state : 'started';
     const reply: RevokeReply = { state, incarnation: this.#state.incarnation };
@@ -135,7 +135,7 @@
   }
 
   async #onAttempt(ctx: Context): Promise<void> {
-    const hop = readHop(ctx);
+    const hop = readHopHeaders(ctx);
     const body = await readBody(ctx.req);
     const { key, target, customer } = hop;
     const output = this.step({ type: 'attempt', key, target, customer });
@@ -160,7 +160,7 @@
   }
 
   async #run(
-    hop: Hop,
+    hop: HopHeaders,
     body: Buffer,
     ctx: Context,
     writer: FrameWriter,
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -78,10 +78,10 @@
 
 /** Creates a sender whose rate stays within the receiver's budget. */
 function rateLimitedSender(link: TransportLink, now: () => number): PartsSender {
-  let pacing = initTokenBucket(now());
+  let bucket = initTokenBucket(now());
   return new PartsSender(link, (bytes) => {
-    const { state, waitMs } = takeBytes(pacing, bytes, now());
-    pacing = state;
+    const { state, waitMs } = takeBytes(bucket, bytes, now());
+    bucket = state;
     return waitMs;
   });
 }
@@ -180,12 +180,14 @@
    */
   onHeartbeat(record: MemberRecord): void {
     const known = this.#membership.directory.get(record.id);
-    const same =
+    const isUnchanged =
       this.#membership.attached.has(record.id) &&
       known?.status === record.status &&
       known.incarnation === record.incarnation &&
       known.address === record.address;
-    this.#stepMembership(same ? { type: 'heard', ids: [record.id] } : { type: 'hello', record });
+    this.#stepMembership(
+      isUnchanged ? { type: 'heard', ids: [record.id] } : { type: 'hello', record },
+    );
   }
 
   /** Handles the departure of an endpoint that runs no process of ours. */
@@ -252,14 +254,14 @@
   async #detectExit(id: string): Promise<void> {
     const known = this.#membership.directory.get(id);
     const address = parseAddress(known?.address ?? '');
-    const isOwn = known?.offer?.group !== undefined && known.zone === this.#options.zone;
-    if (!isOwn || address === undefined) {
+    const isProbeable = known?.offer?.group !== undefined && known.zone === this.#options.zone;
+    if (!isProbeable || address === undefined) {
       return;
     }
-    const found = await probeAddress(address).result;
+    const probeResult = await probeAddress(address).result;
     const record = this.#membership.directory.get(id);
     const isSame = record?.incarnation === known.incarnation && !this.#processes.has(id);
-    if (record !== undefined && isSame && found === 'refused') {
+    if (record !== undefined && isSame && probeResult === 'refused') {
       this.#options.log.info({ event: 'ended', member: id }, 'a process has exited');
       this.#stepMembership({
         type: 'announce',
@@ -375,10 +377,10 @@
       const group = record.offer?.group;
       return records.filter(({ offer }) => group !== undefined && offer?.group === group);
     }
-    const own = this.#regions.get(record.zone);
+    const ownRegion = this.#regions.get(record.zone);
     return records.filter(({ zone }) => {
       const region = this.#regions.get(zone);
-      return own === undefined || region === undefined || region === own;
+      return ownRegion === undefined || region === undefined || region === ownRegion;
     });
   }
 
@@ -409,10 +411,10 @@
     if (changed) {
       this.#updateRegions();
     }
-    outputs.forEach((output) => this.#performRollout(output));
+    outputs.forEach((output) => this.#handleRolloutOutput(output));
   }
 
-  #performRollout(output: RolloutOutput): void {
+  #handleRolloutOutput(output: RolloutOutput): void {
     if (output.type === 'send') {
       this.#processes.get(output.to)?.sender.notifyMerged('config', output.delta, mergeDeltas);
     } else if (output.type === 'phase') {
--- a/src/daemon/DaemonHubLink.ts
+++ b/src/daemon/DaemonHubLink.ts
@@ -220,7 +220,7 @@
  */
 export function preferOwnZone(
   targets: readonly ControlTarget[],
-  own: string | undefined,
+  ownControl: string | undefined,
 ): readonly ControlTarget[] {
-  return [...targets].sort((a, b) => Number(b.name === own) - Number(a.name === own));
+  return [...targets].sort((a, b) => Number(b.name === ownControl) - Number(a.name === ownControl));
 }
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -77,8 +77,8 @@
 
   /** Time until a request is forgotten, ms. */
   quarantinedForMs(digest: string): number {
-    const endedAt = this.#set.state.get(digest)?.lastCrashAt ?? -Infinity;
-    return Math.max(0, endedAt + SUSPECT_RETENTION_MS - this.#options.runtime.now());
+    const crashedAt = this.#set.state.get(digest)?.lastCrashAt ?? -Infinity;
+    return Math.max(0, crashedAt + SUSPECT_RETENTION_MS - this.#options.runtime.now());
   }
 
   /** Calls a listener after each change of items; returns a function that unregisters it. */
--- a/src/daemon/__tests__/unit/DaemonAnswers.test.ts
+++ b/src/daemon/__tests__/unit/DaemonAnswers.test.ts
@@ -172,9 +172,9 @@
   };
 
   // Guards against a status, type or body that a library fills in and the engine didn't send.
-  Object.entries(CASES).forEach(([name, [script, got]]) => {
+  Object.entries(CASES).forEach(([name, [script, expected]]) => {
     it(`delivers what the engine answered: ${name}`, async () => {
-      assert.deepEqual(await call(script), got);
+      assert.deepEqual(await call(script), expected);
     });
   });
 
