--- a/src/daemon/DaemonConsensusJournal.ts
+++ b/src/daemon/DaemonConsensusJournal.ts
@@ -42,7 +42,7 @@
   }
 }
 
-/** Records of the current state only; a journal rewritten with them is as short as possible. */
+/** Records that hold only the current state; the journal is rewritten with them after a snapshot. */
 export function toJournal(state: ConsensusState): readonly JournalRecord[] {
   return [
     { kind: 'snapshot', snapshot: state.snapshot },
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -94,7 +94,10 @@
   return (await peers.request(replicaName(leader), method, params)) as T;
 }
 
-/** Reads the newest log index from the leader; waits until the time `until` for a leader to be known. */
+/**
+ * Reads the newest log index from the leader, once a leader is known; rejects if that takes until the time
+ * `waitUntil`.
+ */
 async function readIndexAtLeader(cradle: Cradle, waitUntil: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
   const hasLeader = (): boolean =>
--- a/src/daemon/DaemonCoordinator.ts
+++ b/src/daemon/DaemonCoordinator.ts
@@ -1,4 +1,4 @@
-/** Requests the lease on the group of this endpoint's host, whose holder coordinates the group. */
+/** Requests the lease on the group of this endpoint's host; its holder coordinates the group. */
 import type { Logger } from 'pino';
 import {
   holderName,
--- a/src/daemon/DaemonEndpointCrashes.ts
+++ b/src/daemon/DaemonEndpointCrashes.ts
@@ -23,7 +23,7 @@
   readonly onSuspects: (incarnationKey: IncarnationKey, suspects: readonly LostRequest[]) => void;
 }
 
-/** Watches endpoints at which requests were lost. */
+/** Determines whether endpoints at which requests were lost have crashed. */
 export class DaemonEndpointCrashes {
   readonly #options: EndpointCrashesOptions;
 
--- a/src/daemon/DaemonGateRelay.ts
+++ b/src/daemon/DaemonGateRelay.ts
@@ -1,4 +1,4 @@
-/** Relays an engine's answer as frames, without parsing its events. */
+/** Relays an engine's answer as frames, without interpreting its events. */
 import type { ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
 import { DONE_EVENT, findEvents } from '../transport/index.js';
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -248,7 +248,7 @@
   }
 
   /**
-   * Finds out whether a process that may coordinate a group has exited after its link closed: its host then refuses
+   * Finds out, after its link closed, whether a process that may coordinate a group has exited: its host then refuses
    * connections. Only processes of the own AZ are probed, since a partition between AZs may refuse connections too.
    */
   async #detectExit(id: string): Promise<void> {
@@ -320,7 +320,7 @@
 
   /**
    * Forwards an update. One from an entry process or this process goes to all other entry processes attached here and
-   * to all hubs; one from a hub, only to the entry processes attached here.
+   * to all other control processes; one from a control process, only to the entry processes attached here.
    */
   #publishSharedUpdate(topic: SharedTopic, update: SharedUpdate, from: string | null): void {
     this.#processes.forEach(({ link, record }, id) => {
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -64,7 +64,7 @@
     return [...this.#set.state.values()].filter((suspect) => crashCount(suspect) > 0);
   }
 
-  /** Whether a customer has suspects. Without any, its requests need not be compared. */
+  /** Whether a customer has suspect requests. If not, its requests need not be compared with any. */
   hasSuspects(customer: string): boolean {
     return this.#customers.has(customer);
   }
@@ -115,7 +115,10 @@
     this.#set.tick();
   }
 
-  /** Logs one line for all changed suspects, as all requests in progress at a crashed endpoint change together. */
+  /**
+   * Logs one line for all changed suspects, as all requests in progress at a crashed endpoint become suspects
+   * together.
+   */
   #onChanged(changed: readonly Suspect[], from: string | null): void {
     const requests = changed.map((suspect) => `${suspect.digest}=${crashCount(suspect)}`);
     this.#options.runtime.log.info(
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Calls `onQuarantined` after each update that leaves the request quarantined; returns a function that unregisters
-   * it.
+   * Calls `onQuarantined` after each change of the set while the request is quarantined; returns a function that
+   * unregisters it.
    */
   registerQuarantineListener(
     identity: RequestIdentity,
--- a/src/daemon/DaemonSettings.ts
+++ b/src/daemon/DaemonSettings.ts
@@ -126,7 +126,7 @@
 /**
  * Checks all settings of a role.
  *
- * @throws {FindingsError} with every finding, each naming its flag and environment variable.
+ * @throws {FindingsError} with every finding, each naming its flag.
  */
 export function checkSettings<R extends Role>(role: R, raw: RawSettings): SettingsOf[R] {
   const parsed = SCHEMAS[role].safeParse(raw);
--- a/src/daemon/__tests__/unit/DaemonAnswers.test.ts
+++ b/src/daemon/__tests__/unit/DaemonAnswers.test.ts
@@ -26,7 +26,7 @@
 /** What a caller receives: status, content type, body, and whether the body is complete. */
 type Answer = readonly [number, string | undefined, string, boolean];
 
-/** Writes an answer to the socket of a connection. */
+/** Script of an engine: writes its answer to the socket of a connection. */
 type Script = (socket: Socket) => void;
 
 function answer(status: number, lines: readonly string[], body = ''): Script {
--- a/src/daemon/__tests__/utils/FakeDisk.ts
+++ b/src/daemon/__tests__/utils/FakeDisk.ts
@@ -1,4 +1,4 @@
-/** A control host's disk, for tests. */
+/** Test double for the disk of a control host. */
 /** A disk that can be made to refuse writes, or to stall them until it is repaired. */
 export class FakeDisk {
   readonly identity: { readonly replica: string };
