--- a/src/daemon/DaemonHubLink.ts
+++ b/src/daemon/DaemonHubLink.ts
@@ -182,7 +182,7 @@
    * Puts a configuration in force; returns whether that worked.
    *
    * A control process of another version may accept a configuration that this one can't read. The older one then
-   * stays in force; that is logged, and the new one is never reported as applied.
+   * stays in force; that is logged, and receipt of the new one isn't answered with `config.applied`.
    */
   #apply(config: ConfigState): boolean {
     try {
