--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -80,10 +80,10 @@
 
 interface Waiter {
   readonly waiting: WaitingRequest;
-  readonly resolve: (verdict: SlotDecision) => void;
+  readonly resolve: (decision: SlotDecision) => void;
 }
 
-interface Service {
+interface ServiceState {
   readonly groups: ReadonlyMap<string, GroupSlots>;
   readonly queue: StreamQueue;
 }
@@ -105,7 +105,7 @@
 
   readonly #modelOf: (service: string) => ModelService | null;
 
-  readonly #services = new Map<string, Service>();
+  readonly #services = new Map<string, ServiceState>();
 
   readonly #waiters = new Map<number, Waiter>();
 
@@ -167,10 +167,10 @@
   onLoad(load: GroupLoad): void {
     this.#services.forEach(({ groups }, service) => {
       const group = groups.get(load.group);
-      const rules = this.#rules(service);
-      if (group !== undefined && rules !== null) {
+      const parameters = this.#slotParameters(service);
+      if (group !== undefined && parameters !== null) {
         const { now, random } = this.#runtime;
-        const next = applyGroupLoad(group, load, this.#own, rules, now(), random());
+        const next = applyGroupLoad(group, load, this.#own, parameters, now(), random());
         if (load.open) {
           this.#downSince.delete(service);
         }
@@ -335,12 +335,12 @@
   tick(): void {
     this.#detectStalledGroups();
     this.#services.forEach(({ groups }, service) => {
-      const rules = this.#rules(service);
-      if (rules !== null) {
+      const parameters = this.#slotParameters(service);
+      if (parameters !== null) {
         groups.forEach((group) => {
-          const aged = dropStaleLoad(group, rules, this.#runtime.now());
-          if (aged !== group) {
-            this.#replaceGroup(service, aged);
+          const refreshed = dropStaleLoad(group, parameters, this.#runtime.now());
+          if (refreshed !== group) {
+            this.#replaceGroup(service, refreshed);
           }
         });
       }
@@ -350,9 +350,11 @@
 
   /** Time after which the caller of a refused request should retry, ms; null where that isn't known. */
   retryAfter(service: string, leftMs: number): number | null {
-    const outlook = this.#forecast(service);
+    const forecast = this.#forecast(service);
     const waiting = this.#services.get(service)?.queue.length ?? 0;
-    return outlook === null ? null : retryDelayMs(leftMs, waiting, outlook, this.#runtime.random());
+    return forecast === null
+      ? null
+      : retryDelayMs(leftMs, waiting, forecast, this.#runtime.random());
   }
 
   /**
@@ -372,8 +374,8 @@
   }
 
   #setGroups(service: string, found: ReadonlyMap<string, readonly GroupRank[]>): void {
-    const rules = this.#rules(service);
-    if (rules === null) {
+    const parameters = this.#slotParameters(service);
+    if (parameters === null) {
       return;
     }
     const known = this.#services.get(service);
@@ -382,7 +384,7 @@
       const before = known?.groups.get(group);
       groups.set(
         group,
-        before === undefined ? initGroupSlots(group, ranks, rules) : { ...before, ranks },
+        before === undefined ? initGroupSlots(group, ranks, parameters) : { ...before, ranks },
       );
     });
     this.#services.set(service, { groups, queue: known?.queue ?? [] });
@@ -416,7 +418,7 @@
     return this.isClosed(service) || this.#runtime.now() - reopenedAt < RECOVERY_MS;
   }
 
-  #rules(service: string): SlotParameters | null {
+  #slotParameters(service: string): SlotParameters | null {
     const model = this.#modelOf(service);
     return model === null ? null : { ...model, entryHosts: this.#entryHosts };
   }
@@ -454,11 +456,11 @@
 
   #admitWaiting(service: string): void {
     const state = this.#services.get(service);
-    const outlook =
+    const forecast =
       state === undefined || state.queue.length === 0 ? null : this.#forecast(service);
-    if (state !== undefined && outlook !== null) {
+    if (state !== undefined && forecast !== null) {
       const { now, random } = this.#runtime;
-      this.#applyStep(service, admitWaiting(state.queue, outlook, now(), random()));
+      this.#applyStep(service, admitWaiting(state.queue, forecast, now(), random()));
     }
   }
 
@@ -472,8 +474,8 @@
     refused.forEach(({ id, retryAfterMs }) => this.#resolve(id, { granted: false, retryAfterMs }));
   }
 
-  #resolve(id: number, verdict: SlotDecision): void {
-    this.#waiters.get(id)?.resolve(verdict);
+  #resolve(id: number, decision: SlotDecision): void {
+    this.#waiters.get(id)?.resolve(decision);
     this.#waiters.delete(id);
   }
 
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -34,9 +34,9 @@
 
   #running: RunningAttempt | null = null;
 
-  #sends = 0;
+  #sendCount = 0;
 
-  #unsent = 0;
+  #unsentCount = 0;
 
   readonly #tried: string[] = [];
 
@@ -48,7 +48,7 @@
   /** Id of the last event that the caller was sent; null if there is none, or it has no id to resume after. */
   #lastEvent: string | null = null;
 
-  #firstAt: number | null = null;
+  #firstByteAt: number | null = null;
 
   #lastEventAt = 0;
 
@@ -90,7 +90,7 @@
 
   /** Time to the first byte of the answer, ms; null where there was none. */
   get firstMs(): number | null {
-    return this.#firstAt === null ? null : this.#firstAt - this.#request.startedAt;
+    return this.#firstByteAt === null ? null : this.#firstByteAt - this.#request.startedAt;
   }
 
   /** Longest pause between two events of its stream, ms; 0 where there was none. */
@@ -103,7 +103,7 @@
   }
 
   get attempts(): number {
-    return this.#sends + this.#unsent;
+    return this.#sendCount + this.#unsentCount;
   }
 
   get #isFinished(): boolean {
@@ -147,26 +147,26 @@
     const { service, head } = this.#request;
     const { admission } = this.#state;
     this.#tried.length = 0;
-    const verdict = await admission.acquire(slotRequestOf(this.#request), this.#waitAbort.signal);
+    const decision = await admission.acquire(slotRequestOf(this.#request), this.#waitAbort.signal);
     if (this.#isFinished) {
-      if (verdict.granted) {
+      if (decision.granted) {
         admission.onUnused(service);
       }
       return;
     }
-    const isAllowed = verdict.granted && this.#state.takeRetry(service);
-    this.#state.requests.waited(head.id, service, verdict, isAllowed);
+    const isAllowed = decision.granted && this.#state.takeRetry(service);
+    this.#state.requests.waited(head.id, service, decision, isAllowed);
     if (isAllowed) {
       this.#send();
       return;
     }
-    if (verdict.granted) {
+    if (decision.granted) {
       admission.onUnused(service);
     }
     if (this.#mayHaveRun) {
-      this.#conclude('fail', null);
+      this.#applyVerdict('fail', null);
     } else {
-      this.#refuse(verdict.granted ? null : verdict.retryAfterMs);
+      this.#refuse(decision.granted ? null : decision.retryAfterMs);
     }
   }
 
@@ -206,7 +206,7 @@
       customer: route.anonymous ? null : (customer?.name ?? null),
       resumeAfter,
     });
-    this.#sends += 1;
+    this.#sendCount += 1;
     this.#tried.push(endpoint.id);
     const isRepeat = this.#sentTo.has(endpoint.id);
     this.#state.onSent(service, endpoint.id);
@@ -258,7 +258,7 @@
     }
     if (sendSlot === null) {
       if (nextMs === null || this.#request.reply.streamStarted || this.#mayHaveRun) {
-        this.#conclude(this.#request.reply.streamStarted ? 'cut' : this.#finalVerdict, null);
+        this.#applyVerdict(this.#request.reply.streamStarted ? 'cut' : this.#finalVerdict, null);
       } else {
         this.#refuse(nextMs);
       }
@@ -278,7 +278,7 @@
   #refuseQuarantined(): void {
     this.#state.screening.logQuarantined(this.#request.identity, this.#request.head.id);
     if (this.#request.reply.streamStarted || this.#mayHaveRun) {
-      this.#conclude(this.#request.reply.streamStarted ? 'cut' : 'fail', null);
+      this.#applyVerdict(this.#request.reply.streamStarted ? 'cut' : 'fail', null);
       return;
     }
     const { reply, identity } = this.#request;
@@ -294,15 +294,15 @@
    */
   #onQuarantined(): void {
     const { admission } = this.#state;
-    const isSent = this.#running !== null;
+    const isRunning = this.#running !== null;
     if (
       this.#isFinished ||
       this.#request.reply.streamStarted ||
-      (isSent && !admission.hasGroups(this.#request.service))
+      (isRunning && !admission.hasGroups(this.#request.service))
     ) {
       return;
     }
-    this.#mayHaveRun ||= isSent;
+    this.#mayHaveRun ||= isRunning;
     this.#endAttempt('cancelled');
     this.#refuseQuarantined();
   }
@@ -314,18 +314,18 @@
 
   /** Ends the running attempt, if there is one. */
   #endAttempt(result: 'whole' | 'refused' | 'failed' | 'cancelled'): void {
-    const sent = this.#running;
+    const running = this.#running;
     this.#running = null;
-    if (sent !== null) {
+    if (running !== null) {
       const { admission } = this.#state;
-      if (sent.hasEvents) {
-        admission.onStreamFinished(sent.endpoint.id);
+      if (running.hasEvents) {
+        admission.onStreamFinished(running.endpoint.id);
       } else {
-        admission.onUnanswered(this.#request.service, sent.endpoint.id, result === 'cancelled');
+        admission.onUnanswered(this.#request.service, running.endpoint.id, result === 'cancelled');
       }
-      this.#state.onDone(this.#request.service, sent.endpoint.id, result);
+      this.#state.onDone(this.#request.service, running.endpoint.id, result);
       if (result === 'cancelled') {
-        sent.attempt.abort();
+        running.attempt.abort();
       }
     }
   }
@@ -360,8 +360,8 @@
   #beginReply({ head, raw }: AttemptHead): void {
     const { reply } = this.#request;
     if (!reply.streamStarted) {
-      reply.begin({ status: head.status, headers: this.#state.answerHeaders(raw) });
-      this.#firstAt = this.#state.now();
+      reply.beginStream({ status: head.status, headers: this.#state.answerHeaders(raw) });
+      this.#firstByteAt = this.#state.now();
     }
   }
 
@@ -405,7 +405,7 @@
     if (this.#isFinished) {
       return;
     }
-    this.#firstAt = this.#state.now();
+    this.#firstByteAt = this.#state.now();
     const { head, raw } = answer;
     this.#request.reply.passWhole(
       { status: head.status, headers: this.#state.answerHeaders(raw) },
@@ -419,7 +419,7 @@
     const isStream = route.kind === 'stream';
     return {
       repeatable: route.kind === 'idempotent' || (isStream && route.resumable),
-      sendCount: this.#sends,
+      sendCount: this.#sendCount,
       maxSends: route.maxAttempts,
       mayHaveRun: this.#mayHaveRun,
       responseStarted: this.#request.reply.streamStarted,
@@ -437,8 +437,8 @@
       return;
     }
     if (isUnsent(failure)) {
-      this.#sends -= 1;
-      this.#unsent += 1;
+      this.#sendCount -= 1;
+      this.#unsentCount += 1;
     } else if (failure !== 'notRun') {
       this.#mayHaveRun = true;
     }
@@ -464,20 +464,20 @@
     const verdict = judgeFailure(
       failure,
       this.#progress(),
-      this.#unsent,
+      this.#unsentCount,
       () => this.#state.canRoute(service, this.#tried) && this.#state.takeRetry(service),
     );
     this.#state.requests.attemptFailed(head.id, endpoint.id, failure, reason, verdict);
-    this.#conclude(verdict, answer);
+    this.#applyVerdict(verdict, answer);
   }
 
-  #conclude(verdict: DirectVerdict, answer: WholeAnswer | null): void {
+  #applyVerdict(verdict: DirectVerdict, answer: WholeAnswer | null): void {
     const handlers: Readonly<Record<DirectVerdict, () => void>> = {
       retry: () => this.#send(),
       wait: () => {
         this.#waitAndSend().catch((err: unknown) => {
           this.#state.requests.fault(this.#request.head.id, err);
-          this.#guard(() => this.#conclude(this.#finalVerdict, null));
+          this.#guard(() => this.#applyVerdict(this.#finalVerdict, null));
         });
       },
       pass: () => {
--- a/src/daemon/direct/DirectConfigWatch.ts
+++ b/src/daemon/direct/DirectConfigWatch.ts
@@ -49,7 +49,7 @@
   readonly hub: ConfigHub;
   readonly runtime: Pick<Runtime, 'now' | 'clocks'> & { readonly log: Pick<Logger, 'warn'> };
   /** Receives the newest index, as named by a leader with a fresh quorum; returns whether that is held here. */
-  readonly onNewest: (index: number, askedAt: ClockReading) => boolean;
+  readonly onNewest: (index: number, requestedAt: ClockReading) => boolean;
 }
 
 /** Configuration watch of one entry process. */
@@ -84,11 +84,11 @@
     }
     this.#polledAt = now;
     this.#isPolling = true;
-    const askedAt = runtime.clocks();
+    const requestedAt = runtime.clocks();
     this.#checkHub();
     hub
       .request('config.newest', {}, POLL_TIMEOUT_MS)
-      .then((index) => this.#onAnswer(index as number, askedAt))
+      .then((index) => this.#onReply(index as number, requestedAt))
       .catch((err: unknown) => this.#onFailure(err as Error))
       .finally(() => {
         this.#isPolling = false;
@@ -109,10 +109,10 @@
     });
   }
 
-  #onAnswer(index: number, askedAt: ClockReading): void {
+  #onReply(index: number, requestedAt: ClockReading): void {
     const { hub, onNewest } = this.#options;
     this.#failures = 0;
-    if (onNewest(index, askedAt)) {
+    if (onNewest(index, requestedAt)) {
       this.#behindCount = 0;
       hub.endSearch();
       return;
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -106,7 +106,7 @@
 
   #proposed: GroupMap | null = null;
 
-  #askedAt: (number | null)[];
+  #requestedAt: (number | null)[];
 
   /** Expert choices counted by each rank since this process started; null before the first counts. */
   #counts: (ExpertCounts | null)[];
@@ -154,7 +154,7 @@
     const { ranks, own, runtime } = options;
     this.#switch = initMapSwitch(ranks, own);
     this.#demand = initDemand(ranks);
-    this.#askedAt = Array.from({ length: ranks }, () => null);
+    this.#requestedAt = Array.from({ length: ranks }, () => null);
     this.#counts = Array.from({ length: ranks }, () => null);
     this.#reports = Array.from({ length: ranks }, () => null);
     const registers = [runtime.registry];
@@ -195,14 +195,15 @@
     } else if (this.#awaitedInRound.size > 0 && now - this.#countsAt >= ROUND_TIMEOUT_MS) {
       this.#endRound();
     }
-    this.#askedAt.forEach((askedAt, rank) => {
+    this.#requestedAt.forEach((requestedAt, rank) => {
       const awaitsRank = this.#map === null || awaitsReport(this.#switch, rank);
-      const isReportDue = awaitsRank && askedAt !== null && now - askedAt >= REPORT_INTERVAL_MS;
-      if (areCountsDue || isReportDue || askedAt === null) {
+      const isReportDue =
+        awaitsRank && requestedAt !== null && now - requestedAt >= REPORT_INTERVAL_MS;
+      if (areCountsDue || isReportDue || requestedAt === null) {
         this.#ask(rank, areCountsDue, now);
       }
     });
-    this.#input({ type: 'tick' });
+    this.#stepSwitch({ type: 'tick' });
   }
 
   /** Ranks whose counts are read: all of a small group, some of a large one. */
@@ -220,9 +221,9 @@
       this.#adoptForecast(token);
       this.#map = null;
       this.#options.peers.resetTimeouts();
-      this.#input({ type: 'gained', token });
+      this.#stepSwitch({ type: 'gained', token });
     } else if (!holdsLease && this.#switch.phase !== 'off') {
-      this.#input({ type: 'lost' });
+      this.#stepSwitch({ type: 'lost' });
       this.#switch = { ...this.#switch, token: 0 };
     }
   }
@@ -244,7 +245,7 @@
     const withExperts = this.#map === null;
     const sendsForecast = isRound && rank !== own && isCandidate(rank);
     const forecast = sendsForecast ? this.#forecast : null;
-    this.#askedAt[rank] = now;
+    this.#requestedAt[rank] = now;
     peers
       .ask(rank, { token, withCounts, withExperts, outlook: forecast })
       .then((reply) => {
@@ -289,7 +290,7 @@
       known.map((item) => item?.experts[s] ?? []),
     );
     this.#experts.clear();
-    this.#input({ type: 'mapInUse', map: this.#map });
+    this.#stepSwitch({ type: 'mapInUse', map: this.#map });
   }
 
   #onReport(rank: number, report: RankReport): void {
@@ -301,7 +302,7 @@
     if (rank === this.#options.own) {
       this.#passes = observeReport(this.#passes, report, this.#options.runtime.now());
     }
-    this.#input({ type: 'report', rank, report });
+    this.#stepSwitch({ type: 'report', rank, report });
     this.#planIfDue();
     // Published at once: callers wait at the entry hosts, and their last retry expires within a second or two.
     if (this.#isOpen !== this.#publishedOpen) {
@@ -375,7 +376,7 @@
    */
   #valuePerRank(valueOf: (report: RankReport) => number): readonly number[] {
     const values = this.#reports.flatMap((report) => (report === null ? [] : [valueOf(report)]));
-    const mean = values.reduce((sum, figure) => sum + figure, 0) / Math.max(1, values.length);
+    const mean = values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
     return this.#reports.map((report) => (report === null ? mean : valueOf(report)));
   }
 
@@ -426,7 +427,7 @@
     );
     this.#copies.inc(planned.copies);
     this.#proposed = planned.map;
-    this.#input({ type: 'propose', map: planned.map });
+    this.#stepSwitch({ type: 'propose', map: planned.map });
   }
 
   /** Gain that each copy must bring now; null where passes are short enough. */
@@ -440,7 +441,7 @@
     return requiredGain(conditions, policy.gainPerCopy);
   }
 
-  #input(input: MapSwitchInput): void {
+  #stepSwitch(input: MapSwitchInput): void {
     const { state, outputs } = stepMapSwitch(this.#switch, input, this.#options.runtime.now());
     this.#switch = state;
     outputs.forEach((output) => this.#perform(output));
@@ -517,11 +518,11 @@
         if (reply.fenced || token !== this.#switch.token) {
           return;
         }
-        this.#input({ type: 'answer', rank, result: reply.result });
+        this.#stepSwitch({ type: 'answer', rank, result: reply.result });
         if (reply.report !== null) {
           this.#onReport(rank, reply.report);
         }
       })
-      .catch(() => this.#input({ type: 'answer', rank, result: 'unknown' }));
+      .catch(() => this.#stepSwitch({ type: 'answer', rank, result: 'unknown' }));
   }
 }
--- a/src/daemon/direct/DirectEndpoint.ts
+++ b/src/daemon/direct/DirectEndpoint.ts
@@ -74,11 +74,11 @@
   const { log } = runtime;
   const rank = new DirectRank(engine, log);
   await serveLinks({ address: cfg.bind, handlers: rank.handlers, signal });
-  const first = await findGroup(engine, signal);
-  if (first === null) {
+  const firstReport = await findGroup(engine, signal);
+  if (firstReport === null) {
     return;
   }
-  const { group, rank: own, ranks } = first;
+  const { group, rank: own, ranks } = firstReport;
   log.info({ event: 'rank', group, rank: own, ranks }, 'engine is a rank of a group');
   const members = new DirectGroupMembers();
   const peers = new DirectRankPeers(own, rank, signal, runtime, openEngine);
@@ -129,14 +129,14 @@
       lease.tick();
     }
     if (lease.lease.held !== null) {
-      peers.follow(members.addresses);
+      peers.updateLinks(members.addresses);
     }
   });
   runEvery(COORDINATOR_TICK_MS, signal, () => coordinator.tick());
   let readAt = -Infinity;
   runEvery(GROUP_POLL_MS, signal, () => {
-    const due = limits.value === null || runtime.now() - readAt > CONFIG_INTERVAL_MS;
-    if (lease.lease.held !== null && hubLink.isAttached && due) {
+    const isDue = limits.value === null || runtime.now() - readAt > CONFIG_INTERVAL_MS;
+    if (lease.lease.held !== null && hubLink.isAttached && isDue) {
       readAt = runtime.now();
       limits
         .read(hubLink)
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -132,13 +132,13 @@
       onAttached: () => {
         this.#watch.poll();
         this.#state.screening.onAttached();
-        this.#state.sendSlots.limits.onUp();
+        this.#state.sendSlots.limits.onAttached();
       },
     });
     this.#watch = new DirectConfigWatch({
       hub: this.#hubLink,
       runtime,
-      onNewest: (index, askedAt) => this.#state.onNewest(index, askedAt),
+      onNewest: (index, requestedAt) => this.#state.onNewest(index, requestedAt),
     });
   }
 
@@ -190,12 +190,12 @@
     this.#state.isLeaving = true;
     this.#state.startup.end();
     this.#hubLink.announce({ status: 'leaving' });
-    const leftAt = this.#runtime.now();
-    this.#leavingSince = leftAt;
-    let idleSince = leftAt;
+    const drainStartedAt = this.#runtime.now();
+    this.#leavingSince = drainStartedAt;
+    let idleSince = drainStartedAt;
     while (this.#remainingMs > 0) {
       const now = this.#runtime.now();
-      const isDeregistered = now - leftAt > DEREGISTRATION_MS;
+      const isDeregistered = now - drainStartedAt > DEREGISTRATION_MS;
       if (this.#state.requests.inProgress > 0) {
         idleSince = now;
       } else if (isDeregistered && now - idleSince > IDLE_DRAIN_MS) {
@@ -232,11 +232,11 @@
     if (since === null) {
       return;
     }
-    const tooLate =
+    const isTooLate =
       route.kind === 'stream'
         ? this.#runtime.now() - since > STREAM_ACCEPT_MS
         : this.#remainingMs < MIN_CALL_MS;
-    if (tooLate) {
+    if (isTooLate) {
       throw new RequestError('leaving', 'this process is about to end');
     }
   }
@@ -268,13 +268,13 @@
       return;
     }
     this.#state.requests.begin();
-    const verdict = await this.#acquire(request);
+    const decision = await this.#acquire(request);
     if (this.#state.isQuarantined(request)) {
-      this.#refuseQuarantined(request, verdict);
+      this.#refuseQuarantined(request, decision);
       return;
     }
-    if (!verdict.granted) {
-      this.#refuseOverloaded(request, verdict.retryAfterMs);
+    if (!decision.granted) {
+      this.#refuseOverloaded(request, decision.retryAfterMs);
       return;
     }
     this.#state.countFirst(request.service);
@@ -288,14 +288,14 @@
     if (this.#state.isQuarantined(request)) {
       return { granted: false, retryAfterMs: 0 };
     }
-    const over = new AbortController();
-    const end = (): void => over.abort();
+    const waitAbort = new AbortController();
+    const end = (): void => waitAbort.abort();
     const unregisterClose = request.reply.registerClose(end);
     const unregisterQuarantineListener = this.#state.registerQuarantineListener(request, end);
-    const verdict = await this.#state.admission.acquire(slotRequestOf(request), over.signal);
+    const decision = await this.#state.admission.acquire(slotRequestOf(request), waitAbort.signal);
     unregisterQuarantineListener();
     unregisterClose();
-    return verdict;
+    return decision;
   }
 
   /** Refuses a quarantined request before it is sent to any endpoint. */
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -208,8 +208,8 @@
    * Records the newest index, as named by a leader with a fresh quorum in reply to a poll sent at `askedAt`. Returns
    * whether that configuration is held here.
    */
-  onNewest(index: number, askedAt: ClockReading): boolean {
-    this.#setFreshness(receiveNewestIndex(this.#freshness, index, askedAt));
+  onNewest(index: number, requestedAt: ClockReading): boolean {
+    this.#setFreshness(receiveNewestIndex(this.#freshness, index, requestedAt));
     return this.#freshness.heldConfigIndex >= index;
   }
 
@@ -249,9 +249,9 @@
     attempt: number,
   ): MemberRecord | null {
     const without = this.sendSlots.withBlocked(exclude);
-    const ranked = this.#chooseRank(service, without);
-    if (ranked !== undefined) {
-      const record = ranked === null ? null : (this.#view.get(ranked)?.record ?? null);
+    const rankId = this.#chooseRank(service, without);
+    if (rankId !== undefined) {
+      const record = rankId === null ? null : (this.#view.get(rankId)?.record ?? null);
       this.requests.chosenRank({ service, request, attempt }, record?.id ?? null);
       return record;
     }
@@ -317,8 +317,8 @@
   /** Whether an endpoint is left for another attempt. */
   canRoute(service: string, exclude: readonly string[]): boolean {
     const without = this.sendSlots.withBlocked(exclude);
-    const ranked = this.admission.choose(service, without);
-    return ranked === undefined ? this.#hasOther(service, without) : ranked !== null;
+    const rankId = this.admission.choose(service, without);
+    return rankId === undefined ? this.#hasOther(service, without) : rankId !== null;
   }
 
   /** Reserves the next send slot at a blocked endpoint of the service; null if there is none in time. */
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -102,7 +102,7 @@
   }
 
   /** Sends everything held here over a new link to a control process. */
-  onUp(): void {
+  onAttached(): void {
     this.#limits.sendAll(this.#options.send);
   }
 
--- a/src/daemon/direct/DirectMapLimits.ts
+++ b/src/daemon/direct/DirectMapLimits.ts
@@ -56,11 +56,11 @@
     const config = (await hubLink.request('config.whole', {})) as ConfigState;
     const text = textOfDocument(config.entries);
     const plan = text === null ? null : this.#documents.readPlan(text);
-    const spec = plan?.services.find(({ name }) => name === this.#service);
-    this.#costs = spec?.engine ?? this.#costs;
-    const pauses = (plan?.routes ?? [])
+    const serviceSpec = plan?.services.find(({ name }) => name === this.#service);
+    this.#costs = serviceSpec?.engine ?? this.#costs;
+    const pauseLimits = (plan?.routes ?? [])
       .filter(({ targets }) => targets.some(({ service }) => service === this.#service))
       .flatMap(({ pauseMs }) => (pauseMs === null ? [] : [pauseMs]));
-    this.#pauseMs = pauses.length === 0 ? this.#pauseMs : Math.min(...pauses);
+    this.#pauseMs = pauseLimits.length === 0 ? this.#pauseMs : Math.min(...pauseLimits);
   }
 }
--- a/src/daemon/direct/DirectRank.ts
+++ b/src/daemon/direct/DirectRank.ts
@@ -88,7 +88,7 @@
   #lastCounts: { readonly token: number; readonly counts: RankCounts } | null = null;
 
   /** Forecast of the last coordinator that sent one, with its token. */
-  #forecast: { readonly token: number; readonly outlook: GroupForecast } | null = null;
+  #forecast: { readonly token: number; readonly forecast: GroupForecast } | null = null;
 
   constructor(engine: EngineClient, log: Logger) {
     this.#engine = engine;
@@ -104,7 +104,7 @@
 
   /** Forecast of a coordinator with a higher token than this; null if there is none. */
   newerForecast(token: number): GroupForecast | null {
-    return this.#forecast !== null && this.#forecast.token > token ? this.#forecast.outlook : null;
+    return this.#forecast !== null && this.#forecast.token > token ? this.#forecast.forecast : null;
   }
 
   async ask({ token, withCounts, withExperts, outlook }: RankRequest): Promise<RankReply> {
@@ -112,7 +112,7 @@
       return { fenced: true };
     }
     if (outlook !== null) {
-      this.#forecast = { token, outlook };
+      this.#forecast = { token, forecast: outlook };
     }
     const report = await this.#engine.report();
     const counts = withCounts ? await this.#readNewCounts(token) : null;
--- a/src/daemon/direct/DirectRankPeers.ts
+++ b/src/daemon/direct/DirectRankPeers.ts
@@ -65,7 +65,7 @@
 
   readonly #links = new Map<number, RankLink>();
 
-  readonly #stops = new Map<number, AbortController>();
+  readonly #stopControllers = new Map<number, AbortController>();
 
   constructor(
     own: number,
@@ -82,7 +82,7 @@
   }
 
   /** Updates the links to the group's members: one to each rank but the own one. */
-  follow(addresses: ReadonlyMap<number, Address>): void {
+  updateLinks(addresses: ReadonlyMap<number, Address>): void {
     addresses.forEach((address, rank) => {
       const key = `${address.host}:${address.port}`;
       if (rank !== this.#own && this.#links.get(rank)?.key !== key) {
@@ -162,9 +162,9 @@
     if (link === undefined) {
       throw new Error(`no process known for rank ${rank}`);
     }
-    const answer = await link.client.request(method, params, timeoutMs);
+    const reply = await link.client.request(method, params, timeoutMs);
     this.#answeredAt.set(rank, this.#runtime.now());
-    return answer;
+    return reply;
   }
 
   /** The engine of a rank whose sidecar doesn't answer; null where it does. */
@@ -189,7 +189,7 @@
   }
 
   #connect(rank: number, key: string, address: Address): void {
-    this.#stops.get(rank)?.abort();
+    this.#stopControllers.get(rank)?.abort();
     this.#maps.delete(rank);
     const stop = new AbortController();
     const client = new TransportLinkClient({
@@ -199,7 +199,7 @@
       jitter: this.#runtime.random,
       onUp: async () => undefined,
     });
-    this.#stops.set(rank, stop);
+    this.#stopControllers.set(rank, stop);
     const engine = new DirectRank(this.#openEngine(address), this.#runtime.log);
     this.#links.set(rank, { key, client, engine });
     // The timeout of a sidecar that never answers starts here.
--- a/src/daemon/direct/DirectReply.ts
+++ b/src/daemon/direct/DirectReply.ts
@@ -81,21 +81,21 @@
   }
 
   /** Starts a stream by sending its endpoint's head to the caller. */
-  begin(start: ReplyStart): void {
+  beginStream(start: ReplyStart): void {
     this.#writeHead('endpoint', start);
     this.#watchHalfClose();
   }
 
   /** Passes on events of a started stream. */
   passEvents(bytes: Buffer): void {
-    this.#assertBegun();
+    this.#assertStreamStarted();
     this.#bytes += bytes.length;
     this.#res.write(bytes);
   }
 
   /** Ends a complete stream. */
   endStream(): void {
-    this.#assertBegun();
+    this.#assertStreamStarted();
     this.#res.end();
   }
 
@@ -145,7 +145,7 @@
   }
 
   /** Throws if no head was sent: the HTTP library would send its own, with a status of success. */
-  #assertBegun(): void {
+  #assertStreamStarted(): void {
     if (!this.streamStarted) {
       throw new ReplyError('a stream goes on that has no head');
     }
--- a/src/daemon/direct/DirectRequestLog.ts
+++ b/src/daemon/direct/DirectRequestLog.ts
@@ -135,8 +135,8 @@
   }
 
   /** Logs the end of a request's second wait for a slot, after an endpoint didn't run it. */
-  waited(request: string, service: string, verdict: SlotDecision, retry: boolean): void {
-    const { granted } = verdict;
+  waited(request: string, service: string, decision: SlotDecision, retry: boolean): void {
+    const { granted } = decision;
     this.#runtime.log.info({ event: 'waited', request, service, granted, retry }, 'waited');
   }
 
--- a/src/daemon/direct/DirectStartup.ts
+++ b/src/daemon/direct/DirectStartup.ts
@@ -29,7 +29,7 @@
 
   /** Checks all waiting requests; to be called when something has changed that they may wait for. */
   recheck(): void {
-    [...this.#waiting].forEach((look) => look());
+    [...this.#waiting].forEach((check) => check());
   }
 
   /** Ends all waits, as the process is about to exit. */
--- a/src/daemon/direct/DirectStreams.ts
+++ b/src/daemon/direct/DirectStreams.ts
@@ -67,8 +67,8 @@
 
   /** Records an event; `isFirst` for the first of a stream. */
   onEvent(endpoint: string, isFirst: boolean, now: number): void {
-    const writing = (this.#streams.get(endpoint)?.writingCount ?? 0) + Number(isFirst);
-    this.#streams.set(endpoint, { writingCount: writing, lastEventAt: now });
+    const writingCount = (this.#streams.get(endpoint)?.writingCount ?? 0) + Number(isFirst);
+    this.#streams.set(endpoint, { writingCount, lastEventAt: now });
     const { sentAt } = this.#unanswered.get(endpoint) ?? NONE_UNANSWERED;
     const left = isFirst ? sentAt.slice(1) : sentAt;
     if (left.length > 0) {
--- a/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
@@ -25,7 +25,7 @@
 function peersOf(port: number, signal: AbortSignal): DirectRankPeers {
   const own = new DirectRank(ENGINE, runtime.log);
   const peers = new DirectRankPeers(0, own, signal, runtime, () => ENGINE);
-  peers.follow(new Map([[1, { host: '127.0.0.1', port }]]));
+  peers.updateLinks(new Map([[1, { host: '127.0.0.1', port }]]));
   return peers;
 }
 
--- a/src/daemon/direct/__tests__/unit/DirectReply.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectReply.test.ts
@@ -54,7 +54,7 @@
   [200, 201, 202, 204, 206].forEach((status) => {
     it(`passes on the status ${status} of a stream without an event`, async () => {
       const answer = await reply((to) => {
-        to.begin({ status, headers: SEALED });
+        to.beginStream({ status, headers: SEALED });
         to.endStream();
       });
       const account = { status, head: 'endpoint', bytes: 0 };
@@ -69,7 +69,7 @@
     assert.deepEqual(whole.account, { status: 200, head: 'endpoint', bytes: 3 });
     const stream = await reply((to) => {
       assert.deepEqual(to.summary, { status: null, head: null, bytes: 0 });
-      to.begin({ status: 200, headers: SEALED });
+      to.beginStream({ status: 200, headers: SEALED });
       to.passEvents(Buffer.from('id: 1\n\n'));
       to.endStream();
     });
