--- a/src/daemon/direct/DirectConfigWatch.ts
+++ b/src/daemon/direct/DirectConfigWatch.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps the configuration of an entry process up to date: polls its hub for the index of the newest one, and searches
- * another hub if this one is unresponsive, can't tell, or names a configuration that doesn't arrive.
+ * for another hub if this one is unresponsive, can't tell, or names a configuration that doesn't arrive.
  */
 import type { Logger } from 'pino';
 import type { ClockReading } from '../../coordination/index.js';
@@ -11,7 +11,7 @@
 const POLL_INTERVAL_MS = 700;
 
 /**
- * A hub that doesn't answer a ping within this time is unresponsive, and another one is searched. It is a hundred
+ * A hub that doesn't answer a ping within this time is unresponsive, and another one is searched for. It is a hundred
  * round trips between availability zones, and a change must be in force within 2 s of its acknowledgement even if the
  * hub froze right before. In ms.
  */
@@ -20,12 +20,12 @@
 /** Timeout of a poll, ms. */
 const POLL_TIMEOUT_MS = 900;
 
-/** Consecutive failed polls after which another hub is searched. */
+/** Consecutive failed polls after which another hub is searched for. */
 const MAX_FAILURES = 2;
 
 /**
  * Consecutive replies naming a configuration that hasn't arrived, after which it is requested again, and after which
- * another hub is searched.
+ * another hub is searched for.
  */
 const RESEND_AFTER = 2;
 const SEARCH_AFTER = 4;
@@ -70,11 +70,11 @@
   }
 
   /**
-   * Polls the hub for the newest configuration, if it is time to.
+   * Polls the hub for the newest configuration, if a poll is due.
    *
-   * If the hub is isolated or frozen while a configuration is accepted elsewhere, requests are handled by the older
-   * one until the lease on it expires. So another hub, which has the newest, is searched beside one that doesn't
-   * answer a ping or has failed two polls.
+   * If the hub is isolated or frozen while a configuration is accepted elsewhere, requests would be handled by the
+   * older one until the lease on it expires. So if the hub doesn't answer a ping, or two polls have failed, another
+   * hub, which has the newest, is searched for.
    */
   poll(): void {
     const { hub, runtime } = this.#options;
@@ -103,7 +103,7 @@
     const { hub, runtime } = this.#options;
     hub.ping(HUB_PING_TIMEOUT_MS).catch((err: unknown) => {
       if (err instanceof LinkTimeoutError) {
-        runtime.log.warn({ event: 'silent_hub', err: err.message }, 'searching another hub');
+        runtime.log.warn({ event: 'silent_hub', err: err.message }, 'searching for another hub');
         hub.searchOther();
       }
     });
@@ -137,13 +137,13 @@
       hub.requestConfigResend();
     } else if (this.#behindCount >= SEARCH_AFTER) {
       this.#behindCount = 0;
-      runtime.log.warn({ event: 'behind', newest: index }, 'searching another hub');
+      runtime.log.warn({ event: 'behind', newest: index }, 'searching for another hub');
       hub.searchOther();
     }
   }
 
   /**
-   * A poll has failed: allows the next one at once, and searches another hub after a timeout or repeated failures.
+   * A poll has failed: the next one is due at once. After a timeout or repeated failures another hub is searched for.
    */
   #onFailure(err: Error): void {
     const { hub, runtime } = this.#options;
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -44,7 +44,7 @@
   readonly policy: MapPolicy;
   /** Objective for the longest pause between two events of a stream, ms. */
   readonly pauseMs: number;
-  /** Number of experts over all sets, as in a rank's counts. */
+  /** Number of experts over all sets. */
   readonly totalExperts: number;
 }
 
@@ -354,7 +354,7 @@
     });
   }
 
-  /** Plans without waiting for the next counts where those at hand show something new. */
+  /** Plans without waiting for the next counts, if a plan is due with those at hand. */
   #planIfDue(): void {
     const now = this.#options.runtime.now();
     const isDue = isPlanDue({
--- a/src/daemon/direct/DirectDocument.ts
+++ b/src/daemon/direct/DirectDocument.ts
@@ -5,7 +5,7 @@
 /** Fleet name of everything that a document declares. */
 export const DIRECT_FLEET = 'direct';
 
-/** Key of the entry. It is compressed synchronously: some 100 KB take 1 to 2 ms, a few times a minute. */
+/** Key of the entry. The document is compressed synchronously: some 100 KB take 1 to 2 ms, a few times a minute. */
 const DOCUMENT_KEY = 'document';
 
 /** Configuration entries that hold a document. */
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -1,5 +1,6 @@
 /**
- * Entry process that calls endpoints directly; they check themselves whether a request is meant for their instance.
+ * Entry process that calls endpoints directly. The endpoints check for themselves whether a request is meant for
+ * their instance.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -336,7 +337,7 @@
     return this.#state.routes !== null && this.#state.isProven;
   }
 
-  /** Waits until something that a newly started process lacks is there, as long as the caller stays connected. */
+  /** Waits until something that a newly started process may lack is there, as long as the caller stays connected. */
   async #awaitStartup(
     reply: DirectReply,
     startedAt: number,
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -205,8 +205,8 @@
   }
 
   /**
-   * Records the newest index, as named by a leader with a fresh quorum in reply to a poll sent at `askedAt`. Returns
-   * whether that configuration is held here.
+   * Records the newest index, as named by a leader with a fresh quorum in reply to a poll sent at `requestedAt`.
+   * Returns whether that configuration is held here.
    */
   onNewest(index: number, requestedAt: ClockReading): boolean {
     this.#setFreshness(receiveNewestIndex(this.#freshness, index, requestedAt));
--- a/src/daemon/direct/DirectMapLimits.ts
+++ b/src/daemon/direct/DirectMapLimits.ts
@@ -18,7 +18,9 @@
 /** Share of the mean load that a copy must take off the most loaded rank of its set to be worth its bytes. */
 const GAIN_PER_COPY = 0.004;
 
-/** Limits of a change: the new experts per rank whose copying fits the time budget, and the gain required of each. */
+/**
+ * Limits of a change: how many new experts per rank fit the time budget for copies, and the gain required of each.
+ */
 export function mapPolicy({ copyMs, mostNew, sets }: EngineCosts): MapPolicy {
   const all = mostNew * sets;
   const withinBudget = copyMs > 0 ? Math.floor(COPY_BUDGET_MS / copyMs) : all;
--- a/src/daemon/direct/DirectRank.ts
+++ b/src/daemon/direct/DirectRank.ts
@@ -71,8 +71,8 @@
  * The rank on this host.
  *
  * A replaced coordinator that wakes up and continues its change would mix its orders with its successor's. Once a
- * coordinator with a higher token has requested a report, a lower one gets neither reports nor orders through, so the
- * old one can't obtain what it would need to release the group.
+ * coordinator with a higher token has requested a report, requests and orders with a lower one are refused, so the
+ * old coordinator can't obtain the reports that it would need to release the group.
  */
 export class DirectRank {
   readonly #engine: EngineClient;
@@ -81,7 +81,7 @@
 
   #highestToken = 0;
 
-  /** Newest map that this rank was ordered to prepare. */
+  /** Last map that this rank was ordered to prepare. */
   #lastMap: { readonly version: number; readonly map: GroupMap } | null = null;
 
   /** Counts as last read by a coordinator, with its token. */
--- a/src/daemon/direct/DirectRankPeers.ts
+++ b/src/daemon/direct/DirectRankPeers.ts
@@ -23,7 +23,10 @@
 /** A sidecar that hasn't answered for this long is bypassed, ms. */
 const UNRESPONSIVE_MS = 500;
 
-/** A sidecar without a link for this long refuses connections, so it has stopped and isn't just slow. In ms. */
+/**
+ * A sidecar without a link for this long is bypassed: it refuses connections, so it has stopped and isn't just slow.
+ * In ms.
+ */
 const UNREACHABLE_MS = 120;
 
 type PrepareOrder = Extract<EngineOrder, { kind: 'prepare' }>;
@@ -43,8 +46,8 @@
  *
  * If a sidecar is frozen or dead while the group is held, nobody can tell whether its rank is armed, and the group
  * would stand still until the sidecar is back. So after half a second, and sooner where there is no link to it,
- * requests and orders go to the engine itself. What the bypassed sidecar may still forward when it wakes up is a late
- * order, which a map change tolerates anyway.
+ * requests and orders go to the engine itself. When the bypassed sidecar wakes up it may still forward an order late,
+ * which a map change tolerates anyway.
  */
 export class DirectRankPeers {
   readonly #own: number;
@@ -91,7 +94,7 @@
     });
   }
 
-  /** Restarts the timeouts, to be called after a time without requests, in which missing answers mean nothing. */
+  /** Restarts the timeouts. To be called after a time without requests, in which missing answers mean nothing. */
   resetTimeouts(): void {
     this.#answeredAt.forEach((_at, rank) => this.#answeredAt.set(rank, this.#runtime.now()));
   }
--- a/src/daemon/direct/DirectReply.ts
+++ b/src/daemon/direct/DirectReply.ts
@@ -49,7 +49,7 @@
     this.#res = res;
   }
 
-  /** Whether the caller has been sent an endpoint's head. */
+  /** Whether an endpoint's head has been sent to the caller; while a request runs, that is the head of a stream. */
   get streamStarted(): boolean {
     return this.#head === 'endpoint';
   }
@@ -68,7 +68,7 @@
 
   /**
    * Registers a callback for the end of the answer or of the caller's connection; returns a function that unregisters
-   * it. An answer that is queued behind others on its connection isn't notified of the end of that.
+   * it. The connection is watched too, as an answer that is queued behind others isn't notified of its end.
    */
   registerClose(onClose: () => void): () => void {
     const { socket } = this.#res.req;
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Aborts an unfinished stream when its caller closes its side, before the HTTP server does: that ends the
-   * connection as if the stream were complete.
+   * Aborts an unfinished stream when its caller closes its side, before the HTTP server ends the connection as if the
+   * stream were complete.
    */
   #watchHalfClose(): void {
     if (this.#isCloseDelimited) {
--- a/src/daemon/direct/DirectRequest.ts
+++ b/src/daemon/direct/DirectRequest.ts
@@ -4,7 +4,9 @@
 import type { SlotRequest } from './DirectAdmission.js';
 import type { DirectReply } from './DirectReply.js';
 
-/** A request with less of its route's time than this share was refused before and is a retry of its caller. */
+/**
+ * A request whose deadline leaves less than this share of its route's time is a caller's retry of a refused request.
+ */
 const RETRY_TIME_SHARE = 0.97;
 
 /** A request that has been read and authorized. */
--- a/src/daemon/direct/DirectRequestLog.ts
+++ b/src/daemon/direct/DirectRequestLog.ts
@@ -134,14 +134,15 @@
     );
   }
 
-  /** Logs the end of a request's second wait for a slot, after an endpoint didn't run it. */
+  /** Logs the end of a further wait for a slot, after a failed attempt. */
   waited(request: string, service: string, decision: SlotDecision, retry: boolean): void {
     const { granted } = decision;
     this.#runtime.log.info({ event: 'waited', request, service, granted, retry }, 'waited');
   }
 
   /**
-   * Logs that a request finds no endpoint now: where it has reserved a send slot, or null if there is none in time.
+   * Logs that no endpoint accepts a request now; `endpoint` is where it has reserved a send slot, null if there is
+   * none in time.
    */
   sendSlotWait(request: string, endpoint: string | null, waitMs: number): void {
     const { log } = this.#runtime;
--- a/src/daemon/direct/DirectSlotsLog.ts
+++ b/src/daemon/direct/DirectSlotsLog.ts
@@ -17,7 +17,7 @@
   readonly waiting: number;
 }
 
-/** Logs a line when a group opens or closes, with each call while requests wait, and else at an interval. */
+/** Logs a line when a group opens or closes, on each load while requests wait, and otherwise at an interval. */
 export class DirectSlotsLog {
   readonly #log: Logger;
 
--- a/src/daemon/direct/DirectStreams.ts
+++ b/src/daemon/direct/DirectStreams.ts
@@ -1,4 +1,4 @@
-/** Streams that an entry process receives, by endpoint. They show first that a group has stalled. */
+/** Streams that an entry process receives, by endpoint. They are the first to show that a group has stalled. */
 import type { OwnStreams } from '../../coordination/index.js';
 
 /**
@@ -47,8 +47,8 @@
    *
    * If the host of one rank stalls, its engine keeps up with the group but sends nothing. As it has the least work,
    * one request after another would be sent there and wait until its caller leaves. So the endpoint is avoided while
-   * any other rank is left, until it answers, and probed with one request now and then. Where all are unresponsive,
-   * the whole group has stalled and none of them is avoided.
+   * any other rank is left, until it answers, and probed with one request now and then. Where no endpoint answers,
+   * the whole group has stalled, and none of them counts as unresponsive.
    */
   unresponsiveAmong(endpoints: readonly string[], now: number): readonly string[] {
     const pending = endpoints.filter((endpoint) => this.#unanswered.has(endpoint));
--- a/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
@@ -92,7 +92,7 @@
     assert.deepEqual(await run(hub, 7, 4), [[], ['searchOther'], [], ['searchOther']]);
   });
 
-  it('searches another hub at once beside an unresponsive one', async () => {
+  it('searches for another hub at once beside an unresponsive one', async () => {
     const hub = new FakeHub();
     hub.alive = false;
     hub.answer = async () => {
