--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -238,7 +238,7 @@
     return groups.length > 0 && !groups.some(isOpenGroup);
   }
 
-  /** Marks each group as broken whose streams to this process have all stopped sending events. */
+  /** Marks each group as broken whose streams to this process have all stopped delivering events. */
   #detectStalledGroups(): void {
     const now = this.#runtime.now();
     this.#services.forEach(({ groups }, service) => {
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -28,7 +28,7 @@
 }
 
 /** Sender name of the control process's updates: there is one control process at a time. */
-const CONTROL = 'hub';
+const HUB = 'hub';
 
 /** Endpoint limits of one entry process. */
 export class DirectLimits extends DirectSendRates<SendRate> {
@@ -98,7 +98,7 @@
 
   /** Applies an update of the control process. */
   onUpdate(update: LimitNews): void {
-    this.#limits.onUpdate(update, CONTROL, this.#options.send);
+    this.#limits.onUpdate(update, HUB, this.#options.send);
   }
 
   /** Sends everything held here over a new link to a control process. */
--- a/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
@@ -191,7 +191,7 @@
 
   // A rank is unreachable, and the others don't report it for a second and a half. Requests that arrive meanwhile
   // must wait: if sent, they would be dropped half run, and nobody could tell their callers that they have not run.
-  it('sends nothing to a group whose streams have all stopped sending events', async () => {
+  it('sends nothing to a group whose streams have all stopped delivering events', async () => {
     let now = 0;
     const admission = openAdmission(pino({ level: 'silent' }), () => now);
     admission.onLoad(load(1));
