--- a/src/daemon/direct/__tests__/unit/DirectCallerConnections.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCallerConnections.test.ts
@@ -10,7 +10,7 @@
 const RUN_MS = 150;
 const HEAD_MS = 40;
 
-describe('DirectConnections', () => {
+describe('DirectCallerConnections', () => {
   const closers: (() => void)[] = [];
 
   afterEach(() => closers.splice(0).forEach((close) => close()));
