--- a/src/cli/CliClient.ts
+++ b/src/cli/CliClient.ts
@@ -26,11 +26,11 @@
   body?: string,
 ): Promise<ApiReply> {
   const attempt = async (
-    rest: readonly string[],
+    remaining: readonly string[],
     failures: readonly string[],
     last: ApiReply | null,
   ): Promise<ApiReply> => {
-    const [address, ...others] = rest;
+    const [address, ...others] = remaining;
     if (address === undefined) {
       if (last !== null) {
         return last;
--- a/src/cli/CliExplain.ts
+++ b/src/cli/CliExplain.ts
@@ -52,7 +52,7 @@
   return context.filter((line) => line.event === event).at(-1);
 }
 
-function tellPlaces(context: readonly LogLine[]): string {
+function describeSlots(context: readonly LogLine[]): string {
   const places = lastOf(context, 'places');
   if (places === undefined) {
     return 'no line tells the state of its group; look further back for "places" on this host';
@@ -69,14 +69,18 @@
         `skew ${String(skew)}`;
 }
 
-function tellPasses(context: readonly LogLine[]): string {
+function describePasses(context: readonly LogLine[]): string {
   const places = lastOf(context, 'places');
   return places === undefined
     ? 'no line tells of passes'
     : `passes of ${String(places.passMs)} ms, skew ${String(places.skew)} shortly before`;
 }
 
-type Teller = (answer: LogLine, lines: readonly LogLine[], context: readonly LogLine[]) => string;
+type Describer = (
+  answer: LogLine,
+  lines: readonly LogLine[],
+  context: readonly LogLine[],
+) => string;
 
 function lastAttempt(lines: readonly LogLine[]): string {
   const attempt = lastOf(lines, 'attempt');
@@ -87,7 +91,7 @@
 }
 
 /** Why a request was not sent again, where it is held. */
-function tellHeld(lines: readonly LogLine[]): string {
+function describeQuarantine(lines: readonly LogLine[]): string {
   const held = lastOf(lines, 'held');
   return held === undefined
     ? ''
@@ -96,7 +100,7 @@
 }
 
 /** What a request was told of endpoints that take nothing now; null where it was sent at once. */
-function tellTurn(lines: readonly LogLine[]): string | null {
+function describeSendSlot(lines: readonly LogLine[]): string | null {
   const turn = lastOf(lines, 'turn');
   return turn?.endpoint !== null
     ? null
@@ -105,31 +109,33 @@
 }
 
 /** Says so where an answer's head was written neither for the endpoint nor for an error of this process. */
-function tellHead({ status, headOf }: LogLine): string {
+function describeHead({ status, headOf }: LogLine): string {
   return headOf === 'library'
     ? `; its head, with status ${String(status)}, is neither the endpoint's nor an error of this host`
     : '';
 }
 
 /** What an outcome means, by its name in the log. */
-const TELLERS: Readonly<Record<string, Teller>> = {
+const DESCRIBERS: Readonly<Record<string, Describer>> = {
   refused: ({ attempts }, lines, context) =>
     attempts === 0
-      ? `refused and never sent: ${tellTurn(lines) ?? tellPlaces(context)}`
+      ? `refused and never sent: ${describeSendSlot(lines) ?? describeSlots(context)}`
       : `refused after ${String(attempts)} attempts that were not run: ${lastAttempt(lines)}`,
-  quarantined: (_answer, lines) => `refused and not run${tellHeld(lines)}`,
-  cut: (_answer, lines) => `broken off in the middle: ${lastAttempt(lines)}${tellHeld(lines)}`,
-  failed: (_answer, lines) => `failed, and may have run: ${lastAttempt(lines)}${tellHeld(lines)}`,
+  quarantined: (_answer, lines) => `refused and not run${describeQuarantine(lines)}`,
+  cut: (_answer, lines) =>
+    `broken off in the middle: ${lastAttempt(lines)}${describeQuarantine(lines)}`,
+  failed: (_answer, lines) =>
+    `failed, and may have run: ${lastAttempt(lines)}${describeQuarantine(lines)}`,
   passed: (_answer, lines) => `the endpoint's own failure was passed on: ${lastAttempt(lines)}`,
   timeout: (_answer, lines, context) =>
-    `no whole answer by its deadline: ${lastAttempt(lines)}; ${tellPlaces(context)}`,
+    `no whole answer by its deadline: ${lastAttempt(lines)}; ${describeSlots(context)}`,
   callerGone: () => 'its caller left before the answer was whole',
   whole: (answer, lines, context) => {
     const { firstMs, pauseMs, attempts } = answer;
     return (
       `answered whole, the first byte after ${String(firstMs)} ms, the longest pause ${String(pauseMs)} ms, ` +
       `${String(attempts)} attempt(s)${attempts === 1 ? '' : ` (${lastAttempt(lines)})`}; ` +
-      `${tellPasses(context)}${tellHead(answer)}`
+      `${describePasses(context)}${describeHead(answer)}`
     );
   },
 };
@@ -145,8 +151,10 @@
       ? 'no line has this id: it reached no process whose log was given'
       : 'it has no end: its process was killed, or the log ends before it';
   }
-  const tell = TELLERS[String(answer.outcome)];
-  return tell === undefined ? `ended as "${String(answer.outcome)}"` : tell(answer, lines, context);
+  const describe = DESCRIBERS[String(answer.outcome)];
+  return describe === undefined
+    ? `ended as "${String(answer.outcome)}"`
+    : describe(answer, lines, context);
 }
 
 /** Joins what the log tells of a request. */
@@ -157,19 +165,19 @@
   const context = log
     .filter(({ event, id, time, role }) => {
       const age = end - Date.parse(time);
-      const bears = hosts.has(id) || role === 'endpoint';
-      return CONTEXT_EVENTS.has(event) && bears && age >= 0 && age < CONTEXT_MS;
+      const isRelated = hosts.has(id) || role === 'endpoint';
+      return CONTEXT_EVENTS.has(event) && isRelated && age >= 0 && age < CONTEXT_MS;
     })
     .sort(byTime);
   return { request, lines, context, conclusion: conclude(lines, context) };
 }
 
 /** Fields that each line of a listing leaves out: they stand before it, or say nothing. */
-const LISTED_APART = new Set(['time', 'id', 'event', 'level', 'msg', 'role', 'request']);
+const OMITTED_FIELDS = new Set(['time', 'id', 'event', 'level', 'msg', 'role', 'request']);
 
 function formatLine(line: LogLine): string {
   const fields = Object.entries(line)
-    .filter(([name]) => !LISTED_APART.has(name))
+    .filter(([name]) => !OMITTED_FIELDS.has(name))
     .map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`);
   return `${line.time}  ${line.id}  ${line.event}  ${fields.join(' ')}`;
 }
--- a/src/cli/CliLoss.ts
+++ b/src/cli/CliLoss.ts
@@ -45,10 +45,10 @@
 export const LATE_LOSS = 0.5;
 
 /** Above this skew a long pass is put down to the map. */
-const SKEWED = 1.5;
+const MAX_EVEN_SKEW = 1.5;
 
 /** A request that has ended, with the last word on its host's group before. */
-interface Ended {
+interface EndedRequest {
   readonly line: LogLine;
   readonly places: LogLine | undefined;
   readonly attempt: LogLine | undefined;
@@ -61,9 +61,9 @@
   readonly lost: number;
 }
 
-const NOT_OWED = new Set(['unknown_key', 'unknown_path', 'too_large', 'bad_request']);
+const CALLER_ERRORS = new Set(['unknown_key', 'unknown_path', 'too_large', 'bad_request']);
 
-function causeOfRefusal({ line, places, attempt, turn }: Ended): LossCause {
+function causeOfRefusal({ line, places, attempt, turn }: EndedRequest): LossCause {
   if (turn?.endpoint === null) {
     return 'endpoints want relief';
   }
@@ -85,33 +85,33 @@
   return typeof value === 'number' && typeof limit === 'number' && value > limit;
 }
 
-function lossOfWhole({ line, places }: Ended): Loss | null {
+function lossOfCompleteAnswer({ line, places }: EndedRequest): Loss | null {
   if (exceeds(line.firstMs, line.objectiveMs)) {
     return { cause: 'first event late', lost: LATE_LOSS };
   }
   if (exceeds(line.pauseMs, line.pauseAimMs)) {
-    const isSkewed = exceeds(places?.skew, SKEWED);
+    const isSkewed = exceeds(places?.skew, MAX_EVEN_SKEW);
     return { cause: isSkewed ? 'map behind the demand' : 'pause too long', lost: LATE_LOSS };
   }
   return null;
 }
 
-type Judge = (ended: Ended) => Loss | null;
+type LossRule = (ended: EndedRequest) => Loss | null;
 
-function whole(cause: LossCause): Judge {
+function fullLoss(cause: LossCause): LossRule {
   return () => ({ cause, lost: 1 });
 }
 
 /** What each outcome of an answered request has lost. */
-const JUDGES: Readonly<Record<string, Judge>> = {
-  whole: lossOfWhole,
+const LOSS_RULES: Readonly<Record<string, LossRule>> = {
+  whole: lossOfCompleteAnswer,
   refused: (ended) => ({ cause: causeOfRefusal(ended), lost: 1 }),
-  quarantined: whole('held for the ends of endpoints'),
-  cut: whole('stream broken off'),
-  failed: whole('lost at an endpoint'),
-  passed: whole('failed by the endpoint'),
-  timeout: whole('deadline passed'),
-  callerGone: whole('caller left'),
+  quarantined: fullLoss('held for the ends of endpoints'),
+  cut: fullLoss('stream broken off'),
+  failed: fullLoss('lost at an endpoint'),
+  passed: fullLoss('failed by the endpoint'),
+  timeout: fullLoss('deadline passed'),
+  callerGone: fullLoss('caller left'),
 };
 
 /** What a refusal at reading has lost, by its code; others are the caller's own mistake and owed to nobody. */
@@ -120,21 +120,21 @@
   leaving: 'host about to end',
 };
 
-function judge(ended: Ended): Loss | null {
+function lossOf(ended: EndedRequest): Loss | null {
   const { line } = ended;
   if (line.event === 'refuse') {
     const cause = REFUSALS[String(line.code)];
     return cause === undefined ? null : { cause, lost: 1 };
   }
-  return JUDGES[String(line.outcome)]?.(ended) ?? null;
+  return LOSS_RULES[String(line.outcome)]?.(ended) ?? null;
 }
 
 /** The requests that ended in a log, each with what its host knew then. */
-function collectEnded(log: readonly LogLine[]): readonly Ended[] {
+function collectEnded(log: readonly LogLine[]): readonly EndedRequest[] {
   const places = new Map<string, LogLine>();
   const attempts = new Map<unknown, LogLine>();
   const turns = new Map<unknown, LogLine>();
-  const ended: Ended[] = [];
+  const ended: EndedRequest[] = [];
   const collectors: Readonly<Record<string, (line: LogLine) => void>> = {
     places: (line) => places.set(line.id, line),
     attempt: (line) => attempts.set(line.request, line),
@@ -147,7 +147,7 @@
         turn: turns.get(line.request),
       }),
     refuse: (line) =>
-      NOT_OWED.has(String(line.code)) ||
+      CALLER_ERRORS.has(String(line.code)) ||
       ended.push({ line, places: places.get(line.id), attempt: undefined, turn: undefined }),
   };
   [...log]
@@ -156,7 +156,7 @@
   return ended;
 }
 
-function sumUp(losses: readonly (Loss | null)[]): Omit<LossReport, 'windows'> {
+function totalOf(losses: readonly (Loss | null)[]): Omit<LossReport, 'windows'> {
   const parts: Partial<Record<LossCause, number>> = {};
   losses.forEach((loss) => {
     if (loss !== null) {
@@ -173,15 +173,15 @@
   const start = Math.min(...log.map(({ time }) => Date.parse(time)));
   const byWindow = new Map<number, (Loss | null)[]>();
   const losses = ended.map((item) => {
-    const loss = judge(item);
+    const loss = lossOf(item);
     const at = Math.floor((Date.parse(item.line.time) - start) / 1_000 / windowS);
     byWindow.set(at, [...(byWindow.get(at) ?? []), loss]);
     return loss;
   });
   const windows = [...byWindow]
     .sort(([a], [b]) => a - b)
-    .map(([at, part]) => ({ fromS: at * windowS, ...sumUp(part) }));
-  return { ...sumUp(losses), windows };
+    .map(([at, part]) => ({ fromS: at * windowS, ...totalOf(part) }));
+  return { ...totalOf(losses), windows };
 }
 
 function formatParts(parts: LossParts): string {
--- a/src/cli/CliLossCommand.ts
+++ b/src/cli/CliLossCommand.ts
@@ -8,7 +8,7 @@
 const EXIT_EMPTY = 1;
 const EXIT_INPUT = 2;
 
-const USUAL_WINDOW_S = 2;
+const DEFAULT_WINDOW_S = 2;
 
 export class LossCommand extends Command {
   static override paths = [['loss']];
@@ -21,7 +21,7 @@
 
   readonly json = Option.Boolean('--json', false, { description: 'Print the report as JSON' });
 
-  readonly window = Option.String('--window', String(USUAL_WINDOW_S), {
+  readonly window = Option.String('--window', String(DEFAULT_WINDOW_S), {
     description: 'Seconds of a window',
   });
 
--- a/src/coordination/EndpointLimits.ts
+++ b/src/coordination/EndpointLimits.ts
@@ -6,7 +6,7 @@
  * later, that is, if the request whose answer advertised it was sent by a process that knew the other record. Where
  * the order can't be proven, the stricter limit holds.
  */
-import type { LimitNews, LimitRecord, NamedLimit } from '../protocol/index.js';
+import type { LimitUpdate, LimitRecord, AdvertisedLimit } from '../protocol/index.js';
 import type { IncarnationKey } from './EndpointCrashes.js';
 import { hashText } from './RoutingHash.js';
 
@@ -109,7 +109,7 @@
 }
 
 /** Merges an update or the whole set of another process; expired records are ignored. */
-export function mergeLimits(state: LimitsState, { records }: LimitNews, now: number): LimitsStep {
+export function mergeLimits(state: LimitsState, { records }: LimitUpdate, now: number): LimitsStep {
   return records
     .filter(({ ageMs }) => ageMs < LIMIT_TTL_MS)
     .reduce<LimitsStep>(
@@ -172,7 +172,7 @@
   state: LimitsState,
   incarnationKey: IncarnationKey,
   sent: LimitTimestamp,
-  limit: NamedLimit,
+  limit: AdvertisedLimit,
   now: number,
 ): LimitsStep {
   if (limit === 'unreadable') {
@@ -202,7 +202,7 @@
   state: LimitsState,
   limits: readonly EndpointLimit[],
   now: number,
-): readonly LimitNews[] {
+): readonly LimitUpdate[] {
   const hash = hashLimits(state);
   const records = limits.map(({ life, clock, perSecond, advertisedAt }) => ({
     life,
--- a/src/coordination/Quarantine.ts
+++ b/src/coordination/Quarantine.ts
@@ -9,7 +9,7 @@
  * Crashes and cleared crashes are sets that merge by union, so that neither order nor repetition of updates
  * matters.
  */
-import type { QuarantineNews, SuspectRecord } from '../protocol/index.js';
+import type { QuarantineUpdate, SuspectRecord } from '../protocol/index.js';
 import type { IncarnationKey, LostRequest } from './EndpointCrashes.js';
 import { hashText } from './RoutingHash.js';
 
@@ -193,7 +193,7 @@
   state: QuarantineState,
   suspects: readonly Suspect[],
   now: number,
-): readonly QuarantineNews[] {
+): readonly QuarantineUpdate[] {
   const hash = hashQuarantine(state);
   const records = suspects.map(({ lastCrashAt, ...record }) => ({
     ...record,
--- a/src/coordination/__tests__/unit/EndpointLimits.test.ts
+++ b/src/coordination/__tests__/unit/EndpointLimits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import type { LimitRecord, NamedLimit } from '../../../protocol/index.js';
+import type { LimitRecord, AdvertisedLimit } from '../../../protocol/index.js';
 import {
   clockOf,
   dropExpiredLimits,
@@ -24,7 +24,7 @@
 }
 
 /** Applies an answer whose request was sent just now, with all that the process knows. */
-function advertise(state: LimitsState, limit: NamedLimit, now: number): LimitsState {
+function advertise(state: LimitsState, limit: AdvertisedLimit, now: number): LimitsState {
   const sent = { clock: clockOf(state, INCARNATION_KEY), at: now };
   return applyAdvertisedLimit(state, INCARNATION_KEY, sent, limit, now).state;
 }
@@ -111,7 +111,7 @@
   it('converges once all processes have received all updates', () => {
     const step = fc.record({
       process: fc.nat({ max: 2 }),
-      limit: fc.constantFrom<NamedLimit>(1, 2, 'none'),
+      limit: fc.constantFrom<AdvertisedLimit>(1, 2, 'none'),
       /** Process whose set it receives first. */
       receivesFrom: fc.option(fc.nat({ max: 2 })),
     });
--- a/src/coordination/__tests__/utils/LimitsModel.ts
+++ b/src/coordination/__tests__/utils/LimitsModel.ts
@@ -1,7 +1,7 @@
 /** Simulation of entry hosts that share the limit of one endpoint, over a network with delays and a partition. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { LimitNews } from '../../../protocol/index.js';
+import type { LimitUpdate } from '../../../protocol/index.js';
 import {
   clockOf,
   mergeLimits,
@@ -171,7 +171,7 @@
     }
   }
 
-  #publish(from: number, update: LimitNews): void {
+  #publish(from: number, update: LimitUpdate): void {
     const [begin, end] = this.#scenario.partition;
     const isPartitioned = this.#now >= begin && this.#now < end;
     this.#hosts.forEach((host, to) => {
--- a/src/daemon/DaemonAdmin.ts
+++ b/src/daemon/DaemonAdmin.ts
@@ -14,7 +14,7 @@
   digestManifest,
   entriesOfFleet,
   flattenManifest,
-  judgeSubmission,
+  checkSubmission,
 } from '../state/index.js';
 import { readBody } from '../transport/index.js';
 import type { DaemonConsensus } from './DaemonConsensus.js';
@@ -131,7 +131,7 @@
   const { control } = consensus;
   const before = entriesOfFleet(control.config.entries, manifest.fleet);
   const digest = digestManifest(manifest);
-  const judged = judgeSubmission(control, manifest.fleet, manifest.version, digest);
+  const judged = checkSubmission(control, manifest.fleet, manifest.version, digest);
   const { set, del } = diffEntries(before, flattenManifest(manifest));
   return {
     fleet: manifest.fleet,
--- a/src/daemon/DaemonControlService.ts
+++ b/src/daemon/DaemonControlService.ts
@@ -25,7 +25,7 @@
   digestManifest,
   entriesOfFleet,
   flattenManifest,
-  judgeSubmission,
+  checkSubmission,
   type LeaseCommand,
   type LeaseState,
 } from '../state/index.js';
@@ -113,7 +113,7 @@
         return { result: 'unavailable', reason: 'no leader with a quorum' };
       }
       const { control } = this.#consensus;
-      const judged = judgeSubmission(control, fleet, version, digest);
+      const judged = checkSubmission(control, fleet, version, digest);
       if (judged !== 'new') {
         return judged;
       }
--- a/src/daemon/DaemonEntryCall.ts
+++ b/src/daemon/DaemonEntryCall.ts
@@ -11,7 +11,7 @@
   type AttemptStep,
 } from '../coordination/index.js';
 import {
-  HOP_HEADERS,
+  GATE_HEADERS,
   isErrorCode,
   type RequestError,
   type AnswerFrame,
@@ -21,7 +21,7 @@
   type RequestIdentity,
   type RevokeReply,
 } from '../protocol/index.js';
-import { FRAMES_TYPE, readFrames } from '../transport/index.js';
+import { FRAMES_CONTENT_TYPE, readFrames } from '../transport/index.js';
 import type { CallerApiOptions } from './DaemonEntryApi.js';
 import { sendError } from './DaemonApp.js';
 
@@ -178,14 +178,14 @@
     const { customer, path, method, deadline, contentType } = this.#spec;
     return {
       'content-type': contentType,
-      [HOP_HEADERS.request]: this.#request,
-      [HOP_HEADERS.attempt]: String(attempt),
-      [HOP_HEADERS.sender]: String(hubLink.record.incarnation),
-      [HOP_HEADERS.target]: String(endpoint.incarnation),
-      [HOP_HEADERS.path]: path,
-      [HOP_HEADERS.method]: method,
-      [HOP_HEADERS.deadline]: String(Math.max(0, Math.round(deadline - runtime.now()))),
-      [HOP_HEADERS.customer]: customer.name,
+      [GATE_HEADERS.request]: this.#request,
+      [GATE_HEADERS.attempt]: String(attempt),
+      [GATE_HEADERS.sender]: String(hubLink.record.incarnation),
+      [GATE_HEADERS.target]: String(endpoint.incarnation),
+      [GATE_HEADERS.path]: path,
+      [GATE_HEADERS.method]: method,
+      [GATE_HEADERS.deadline]: String(Math.max(0, Math.round(deadline - runtime.now()))),
+      [GATE_HEADERS.customer]: customer.name,
     };
   }
 
@@ -204,7 +204,7 @@
         body: this.#spec.body,
         signal: abort.signal,
       });
-      const framed = response.headers['content-type'] === FRAMES_TYPE;
+      const framed = response.headers['content-type'] === FRAMES_CONTENT_TYPE;
       result = framed
         ? await this.#readAnswer(response, endpoint, attempt)
         : await this.#readRefusal(response, attempt);
--- a/src/daemon/DaemonGate.ts
+++ b/src/daemon/DaemonGate.ts
@@ -14,13 +14,19 @@
   type GateState,
 } from '../coordination/index.js';
 import {
-  HOP_HEADERS,
+  GATE_HEADERS,
   RequestError,
   type LoadReport,
   type MemberRecord,
   type RevokeReply,
 } from '../protocol/index.js';
-import { FRAMES_TYPE, FrameWriter, headerOf, readBody, type Probe } from '../transport/index.js';
+import {
+  FRAMES_CONTENT_TYPE,
+  FrameWriter,
+  headerOf,
+  readBody,
+  type Probe,
+} from '../transport/index.js';
 import { relayEvents, relayBody } from './DaemonGateRelay.js';
 import { sendError } from './DaemonApp.js';
 import type { Runtime } from './DaemonRuntime.js';
@@ -51,9 +57,9 @@
 
 function readHopHeaders(ctx: Context): HopHeaders {
   const get = (name: string): string => headerOf(ctx.req, name) ?? '';
-  const request = get(HOP_HEADERS.request);
-  const attempt = Number(get(HOP_HEADERS.attempt));
-  const target = Number(get(HOP_HEADERS.target));
+  const request = get(GATE_HEADERS.request);
+  const attempt = Number(get(GATE_HEADERS.attempt));
+  const target = Number(get(GATE_HEADERS.target));
   if (request === '' || !Number.isInteger(attempt) || !Number.isInteger(target)) {
     throw new RequestError('bad_request', 'headers of an attempt are missing');
   }
@@ -63,10 +69,10 @@
     request,
     attempt,
     target,
-    customer: get(HOP_HEADERS.customer),
-    path: get(HOP_HEADERS.path),
-    method: get(HOP_HEADERS.method),
-    deadlineMs: Number(get(HOP_HEADERS.deadline)),
+    customer: get(GATE_HEADERS.customer),
+    path: get(GATE_HEADERS.path),
+    method: get(GATE_HEADERS.method),
+    deadlineMs: Number(get(GATE_HEADERS.deadline)),
   };
 }
 
@@ -144,7 +150,7 @@
     }
     ctx.respond = false;
     const { res } = ctx;
-    res.writeHead(200, { 'content-type': FRAMES_TYPE });
+    res.writeHead(200, { 'content-type': FRAMES_CONTENT_TYPE });
     res.flushHeaders();
     const writer = new FrameWriter(res);
     const abort = new AbortController();
--- a/src/daemon/DaemonGateRelay.ts
+++ b/src/daemon/DaemonGateRelay.ts
@@ -1,7 +1,7 @@
 /** Relays an engine's answer as frames, without interpreting its events. */
 import type { ServerResponse } from 'node:http';
 import type { Readable } from 'node:stream';
-import { DONE_EVENT, findEvents } from '../transport/index.js';
+import { DONE_EVENT, scanWholeEvents } from '../transport/index.js';
 
 /** Sends bytes that contain `events` complete events. */
 export type SendPart = (bytes: Buffer, events: number) => void;
@@ -34,7 +34,7 @@
   for await (const chunk of body) {
     const data =
       remainder.length === 0 ? (chunk as Buffer) : Buffer.concat([remainder, chunk as Buffer]);
-    const { end, events } = findEvents(data);
+    const { end, events } = scanWholeEvents(data);
     if (events > 0) {
       done = data.subarray(0, end).subarray(-DONE_EVENT.length).equals(Buffer.from(DONE_EVENT));
       send(data.subarray(0, end), events);
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -24,9 +24,9 @@
   GroupLoad,
   HelloMessage,
   HelloReply,
-  LimitNews,
+  LimitUpdate,
   MemberRecord,
-  QuarantineNews,
+  QuarantineUpdate,
 } from '../protocol/index.js';
 import { DaemonLimits } from './DaemonLimits.js';
 import { DaemonQuarantine } from './DaemonQuarantine.js';
@@ -61,7 +61,7 @@
 export type SharedTopic = 'quarantine' | 'limits';
 
 /** An update of a shared set. */
-export type SharedUpdate = QuarantineNews | LimitNews;
+export type SharedUpdate = QuarantineUpdate | LimitUpdate;
 
 /** Status of an attached process, as its control process reports it. */
 export interface AttachedStatus {
@@ -224,7 +224,7 @@
    */
   tick(): void {
     const ids = [...this.#processes].flatMap(([id, { link }]) =>
-      this.#options.now() - link.heardAt < LINK_STALE_MS ? [id] : [],
+      this.#options.now() - link.lastReceivedAt < LINK_STALE_MS ? [id] : [],
     );
     this.#stepMembership({ type: 'heard', ids });
     this.#stepMembership({ type: 'tick' });
@@ -308,8 +308,8 @@
     reply: (update: SharedUpdate) => void,
   ): void {
     const handlers: Readonly<Record<SharedTopic, () => void>> = {
-      quarantine: () => this.quarantine.onUpdate(update as QuarantineNews, from, reply),
-      limits: () => this.#limits.onUpdate(update as LimitNews, from, reply),
+      quarantine: () => this.quarantine.onUpdate(update as QuarantineUpdate, from, reply),
+      limits: () => this.#limits.onUpdate(update as LimitUpdate, from, reply),
     };
     handlers[topic]();
   }
--- a/src/daemon/DaemonHubLink.ts
+++ b/src/daemon/DaemonHubLink.ts
@@ -7,9 +7,9 @@
   GroupLoad,
   HelloMessage,
   HelloReply,
-  LimitNews,
+  LimitUpdate,
   MemberRecord,
-  QuarantineNews,
+  QuarantineUpdate,
 } from '../protocol/index.js';
 import { hashText } from '../coordination/index.js';
 import { applyConfigDelta, EMPTY_CONFIG, type ConfigState } from '../state/index.js';
@@ -36,8 +36,8 @@
   readonly onConfig: ((config: ConfigState) => void) | null;
   readonly onDirectory: (delta: DirectoryDelta) => void;
   readonly onGroupLoad?: (load: GroupLoad) => void;
-  readonly onQuarantine?: (update: QuarantineNews) => void;
-  readonly onLimits?: (update: LimitNews) => void;
+  readonly onQuarantine?: (update: QuarantineUpdate) => void;
+  readonly onLimits?: (update: LimitUpdate) => void;
   /** Called once attached, after each new link. */
   readonly onAttached?: () => void;
 }
@@ -74,8 +74,8 @@
             this.#controls = controls as readonly ControlAddress[];
           },
           'group.load': (load) => options.onGroupLoad?.(load as GroupLoad),
-          limits: (update) => options.onLimits?.(update as LimitNews),
-          quarantine: (update) => options.onQuarantine?.(update as QuarantineNews),
+          limits: (update) => options.onLimits?.(update as LimitUpdate),
+          quarantine: (update) => options.onQuarantine?.(update as QuarantineUpdate),
         },
         () => {
           this.#partReceivedAt = performance.now();
--- a/src/daemon/DaemonLimits.ts
+++ b/src/daemon/DaemonLimits.ts
@@ -9,11 +9,11 @@
   type LimitsState,
   type LimitsStep,
 } from '../coordination/index.js';
-import type { LimitNews } from '../protocol/index.js';
+import type { LimitUpdate } from '../protocol/index.js';
 import type { Runtime } from './DaemonRuntime.js';
 import { DaemonSharedSet, type SendUpdate, type SharedSetRules } from './DaemonSharedSet.js';
 
-const RULES: SharedSetRules<LimitsState, EndpointLimit, LimitNews> = {
+const RULES: SharedSetRules<LimitsState, EndpointLimit, LimitUpdate> = {
   empty: NO_LIMITS,
   itemsOf: (state) => [...state.values()],
   hash: hashLimits,
@@ -26,14 +26,14 @@
 export interface LimitsOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   /** Sends an update to all connected processes but the one that it came from; `from` is null for an own change. */
-  readonly publish: (update: LimitNews, from: string | null) => void;
+  readonly publish: (update: LimitUpdate, from: string | null) => void;
   /** Called after each change of the set. */
   readonly onStateChange?: () => void;
 }
 
 /** The limits known to one process. */
 export class DaemonLimits {
-  readonly #set: DaemonSharedSet<LimitsState, EndpointLimit, LimitNews>;
+  readonly #set: DaemonSharedSet<LimitsState, EndpointLimit, LimitUpdate>;
 
   constructor({ runtime, publish, onStateChange }: LimitsOptions) {
     this.#set = new DaemonSharedSet(RULES, {
@@ -60,12 +60,12 @@
   }
 
   /** Merges an update from another process, and replies with the whole set if that process holds a different one. */
-  onUpdate(update: LimitNews, from: string, reply: SendUpdate<LimitNews>): void {
+  onUpdate(update: LimitUpdate, from: string, reply: SendUpdate<LimitUpdate>): void {
     this.#set.onUpdate(update, from, reply);
   }
 
   /** Sends the whole set to a newly connected process. */
-  sendAll(send: SendUpdate<LimitNews>): void {
+  sendAll(send: SendUpdate<LimitUpdate>): void {
     this.#set.sendAll(send);
   }
 
--- a/src/daemon/DaemonQuarantine.ts
+++ b/src/daemon/DaemonQuarantine.ts
@@ -14,14 +14,14 @@
   type QuarantineState,
   type Suspect,
 } from '../coordination/index.js';
-import type { QuarantineNews } from '../protocol/index.js';
+import type { QuarantineUpdate } from '../protocol/index.js';
 import type { Runtime } from './DaemonRuntime.js';
 import { DaemonSharedSet, type SendUpdate, type SharedSetRules } from './DaemonSharedSet.js';
 
 /** Sends an update to one other process. */
-export type SendQuarantineUpdate = SendUpdate<QuarantineNews>;
+export type SendQuarantineUpdate = SendUpdate<QuarantineUpdate>;
 
-const RULES: SharedSetRules<QuarantineState, Suspect, QuarantineNews> = {
+const RULES: SharedSetRules<QuarantineState, Suspect, QuarantineUpdate> = {
   empty: EMPTY_QUARANTINE,
   itemsOf: (state) => [...state.values()],
   hash: hashQuarantine,
@@ -34,14 +34,14 @@
 export interface QuarantineOptions {
   readonly runtime: Pick<Runtime, 'now' | 'log'>;
   /** Sends an update to all connected processes but the one that it came from; `from` is null for an own change. */
-  readonly publish: (update: QuarantineNews, from: string | null) => void;
+  readonly publish: (update: QuarantineUpdate, from: string | null) => void;
 }
 
 /** The suspect requests known to one process. */
 export class DaemonQuarantine {
   readonly #options: QuarantineOptions;
 
-  readonly #set: DaemonSharedSet<QuarantineState, Suspect, QuarantineNews>;
+  readonly #set: DaemonSharedSet<QuarantineState, Suspect, QuarantineUpdate>;
 
   #customers: ReadonlySet<string> = new Set();
 
@@ -101,7 +101,7 @@
   }
 
   /** Merges an update from another process, and replies with the whole set if that process holds a different one. */
-  onUpdate(update: QuarantineNews, from: string, reply: SendQuarantineUpdate): void {
+  onUpdate(update: QuarantineUpdate, from: string, reply: SendQuarantineUpdate): void {
     this.#set.onUpdate(update, from, reply);
   }
 
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -12,7 +12,7 @@
 import {
   digestRequest,
   type MemberRecord,
-  type QuarantineNews,
+  type QuarantineUpdate,
   type RequestIdentity,
 } from '../protocol/index.js';
 import { probeAddress } from '../transport/index.js';
@@ -154,7 +154,7 @@
   }
 
   /** Handles an update from the control process. */
-  onUpdate(update: QuarantineNews): void {
+  onUpdate(update: QuarantineUpdate): void {
     this.#quarantine.onUpdate(update, HUB, this.#options.send);
   }
 
--- a/src/daemon/direct/DirectAttempt.ts
+++ b/src/daemon/direct/DirectAttempt.ts
@@ -3,7 +3,7 @@
 import { isNotRunStatus, type DirectFailure } from '../../coordination/index.js';
 import type { AnswerHead, HttpDialect } from '../../protocol/index.js';
 import {
-  findEvents,
+  scanWholeEvents,
   startCall,
   type CallListener,
   type EndpointPool,
@@ -166,7 +166,7 @@
     if (data === undefined || head === null || this.#isOver) {
       return;
     }
-    const { end } = findEvents(data);
+    const { end } = scanWholeEvents(data);
     this.#chunks = end < data.length ? [data.subarray(end)] : [];
     if (end > 0) {
       this.#options.listener.onEvents(data.subarray(0, end), { head, raw: this.#raw });
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -222,7 +222,7 @@
         headers: raw,
         body: body.length === 0 ? null : body,
         // A late second answer to the earlier send there would carry the same id.
-        isAlone: isRepeat,
+        usesOwnConnection: isRepeat,
       },
       listener: {
         onStart: () => {
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -35,11 +35,11 @@
   DirectoryDelta,
   DocumentDialect,
   HttpDialect,
-  LimitNews,
+  LimitUpdate,
   MemberRecord,
 } from '../../protocol/index.js';
 import { viewRoutes, type ConfigState, type RouteView } from '../../state/index.js';
-import { findLast, type EndpointPool } from '../../transport/index.js';
+import { findLastEvent, type EndpointPool } from '../../transport/index.js';
 import type { SendQuarantineUpdate } from '../DaemonQuarantine.js';
 import type { SendUpdate } from '../DaemonSharedSet.js';
 import { DaemonScreening } from '../DaemonScreening.js';
@@ -66,7 +66,7 @@
   /** Sends updates on suspect requests to the control process. */
   readonly sendQuarantineUpdate: SendQuarantineUpdate;
   /** Sends updates on limits to the control process. */
-  readonly sendLimitUpdate: SendUpdate<LimitNews>;
+  readonly sendLimitUpdate: SendUpdate<LimitUpdate>;
 }
 
 /** Replaced instances are remembered this long, as late updates may still list them. In ms. */
@@ -412,7 +412,7 @@
 
   /** Last of some complete events, with its id; null if there are only comments. */
   lastEvent(events: Buffer): { readonly id: string | null } | null {
-    return findLast(events, this.#options.http.eventId);
+    return findLastEvent(events, this.#options.http.eventId);
   }
 
   pool(endpoint: MemberRecord): EndpointPool {
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -12,7 +12,7 @@
   type RecentHosts,
   type SendRate,
 } from '../../coordination/index.js';
-import type { LimitNews, MemberRecord, NamedLimit } from '../../protocol/index.js';
+import type { LimitUpdate, MemberRecord, AdvertisedLimit } from '../../protocol/index.js';
 import { DaemonLimits } from '../DaemonLimits.js';
 import type { Runtime } from '../DaemonRuntime.js';
 import type { SendUpdate } from '../DaemonSharedSet.js';
@@ -24,7 +24,7 @@
   readonly self: string;
   readonly runtime: Pick<Runtime, 'now' | 'log' | 'registry'>;
   /** Sends updates to the control process; lost while there is no link. */
-  readonly send: SendUpdate<LimitNews>;
+  readonly send: SendUpdate<LimitUpdate>;
 }
 
 /** Sender name of the control process's updates: there is one control process at a time. */
@@ -83,7 +83,12 @@
   }
 
   /** Applies the limit that an answer names; `sent` is the timestamp of its request. */
-  onAnswer(endpoint: MemberRecord, sent: LimitTimestamp, limit: NamedLimit, request: string): void {
+  onAnswer(
+    endpoint: MemberRecord,
+    sent: LimitTimestamp,
+    limit: AdvertisedLimit,
+    request: string,
+  ): void {
     const { log, now } = this.#options.runtime;
     const incarnationKey = incarnationKeyOf(endpoint);
     const step = applyAdvertisedLimit(this.#limits.state, incarnationKey, sent, limit, now());
@@ -97,7 +102,7 @@
   }
 
   /** Applies an update of the control process. */
-  onUpdate(update: LimitNews): void {
+  onUpdate(update: LimitUpdate): void {
     this.#limits.onUpdate(update, HUB, this.#options.send);
   }
 
--- a/src/protocol/ProtocolDialect.ts
+++ b/src/protocol/ProtocolDialect.ts
@@ -37,7 +37,7 @@
  * The requests a second that an endpoint takes from all entry hosts together, as one of its answers names them; `none`
  * where it names no limit, `unreadable` where it names one that is no number.
  */
-export type NamedLimit = number | 'none' | 'unreadable';
+export type AdvertisedLimit = number | 'none' | 'unreadable';
 
 /** What the head of an endpoint's answer says. */
 export interface AnswerHead {
@@ -53,7 +53,7 @@
   /** Instance that is to blame for the failure, where another than the one that answered. */
   readonly faultyInstance: string | null;
   readonly isStream: boolean;
-  readonly limit: NamedLimit;
+  readonly limit: AdvertisedLimit;
   /** Time for which an endpoint that refuses wants nothing from this host, ms; `unreadable` for no time. */
   readonly restMs: number | 'none' | 'unreadable';
   /** Whether the endpoint is about to end. */
--- a/src/protocol/ProtocolLimits.ts
+++ b/src/protocol/ProtocolLimits.ts
@@ -13,7 +13,7 @@
 }
 
 /** News of limits, or a whole set; `hash` stands for all that the sender holds. */
-export interface LimitNews {
+export interface LimitUpdate {
   readonly records: readonly LimitRecord[];
   readonly hash: number;
 }
--- a/src/protocol/ProtocolManifestText.ts
+++ b/src/protocol/ProtocolManifestText.ts
@@ -3,28 +3,28 @@
 import { FindingsError, type Finding } from './ProtocolFindings.js';
 import { manifestSchema, type Manifest } from './ProtocolManifest.js';
 
-interface Place {
+interface SourcePosition {
   readonly line: number;
   readonly column: number;
 }
 
 type YamlDocument = ReturnType<typeof parseDocument>;
 
-interface Ranged {
+interface NodeWithRange {
   readonly range?: readonly [number, number, number] | null;
 }
 
 /** Place of the deepest node that the path reaches: a missing key is reported at its parent. */
-function findPlace(
+function findPosition(
   doc: YamlDocument,
   lines: LineCounter,
   path: readonly (string | number)[],
-): Place {
-  let known = path;
-  let node = doc.getIn(known, true) as Ranged | undefined;
-  while (!node?.range && known.length > 0) {
-    known = known.slice(0, -1);
-    node = doc.getIn(known, true) as Ranged | undefined;
+): SourcePosition {
+  let reachable = path;
+  let node = doc.getIn(reachable, true) as NodeWithRange | undefined;
+  while (!node?.range && reachable.length > 0) {
+    reachable = reachable.slice(0, -1);
+    node = doc.getIn(reachable, true) as NodeWithRange | undefined;
   }
   const { line, col } = lines.linePos(node?.range?.[0] ?? 0);
   return { line, column: col };
@@ -39,7 +39,7 @@
 }
 
 /** Reads JSON that holds, which takes a fraction of the time; all else is YAML's, with places. */
-function parseSoundJson(text: string): Manifest | undefined {
+function parseValidJson(text: string): Manifest | undefined {
   if (!text.trimStart().startsWith('{')) {
     return undefined;
   }
@@ -73,7 +73,7 @@
     const path = issue.path.map((part) => (typeof part === 'number' ? part : String(part)));
     return {
       place: formatPath(path) || 'manifest',
-      ...findPlace(doc, lines, path),
+      ...findPosition(doc, lines, path),
       message: issue.message,
     };
   });
@@ -87,5 +87,5 @@
  * @throws {FindingsError} with all findings, each with line and column.
  */
 export function parseManifestQuickly(text: string): Manifest {
-  return parseSoundJson(text) ?? parseManifest(text);
+  return parseValidJson(text) ?? parseManifest(text);
 }
--- a/src/protocol/ProtocolMessages.ts
+++ b/src/protocol/ProtocolMessages.ts
@@ -173,7 +173,7 @@
 }
 
 /** Headers between an entry process and a gate. */
-export const HOP_HEADERS = {
+export const GATE_HEADERS = {
   request: 'x-lg-request',
   attempt: 'x-lg-attempt',
   sender: 'x-lg-sender',
--- a/src/protocol/ProtocolQuarantine.ts
+++ b/src/protocol/ProtocolQuarantine.ts
@@ -15,7 +15,7 @@
 }
 
 /** News of suspects, or a whole set; `hash` stands for all that the sender holds. */
-export interface QuarantineNews {
+export interface QuarantineUpdate {
   readonly records: readonly SuspectRecord[];
   readonly hash: number;
 }
--- a/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
+++ b/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { digestRequest, isSameRequest, type RequestIdentity } from '../../ProtocolRequestDigest.js';
 
-const ASK: RequestIdentity = {
+const REQUEST: RequestIdentity = {
   customer: 'kano',
   method: 'POST',
   host: 'desk.example',
@@ -11,25 +11,25 @@
 };
 
 const OTHERS: Readonly<Record<string, RequestIdentity>> = {
-  customer: { ...ASK, customer: 'jos' },
-  method: { ...ASK, method: 'PUT' },
-  host: { ...ASK, host: 'other.example' },
-  query: { ...ASK, path: '/ask/x?y=2' },
-  body: { ...ASK, body: Buffer.from('bodies') },
-  'parts cut elsewhere': { ...ASK, path: '/ask/x?y=', body: Buffer.from('1body') },
+  customer: { ...REQUEST, customer: 'jos' },
+  method: { ...REQUEST, method: 'PUT' },
+  host: { ...REQUEST, host: 'other.example' },
+  query: { ...REQUEST, path: '/ask/x?y=2' },
+  body: { ...REQUEST, body: Buffer.from('bodies') },
+  'parts cut elsewhere': { ...REQUEST, path: '/ask/x?y=', body: Buffer.from('1body') },
 };
 
 describe('the digest of a request', () => {
   it('is the same for the same request, however the host is written', () => {
-    const again = { ...ASK, host: 'Desk.Example', body: Buffer.from('body') };
-    assert.equal(digestRequest(again), digestRequest(ASK));
-    assert.ok(isSameRequest(again, ASK));
+    const again = { ...REQUEST, host: 'Desk.Example', body: Buffer.from('body') };
+    assert.equal(digestRequest(again), digestRequest(REQUEST));
+    assert.ok(isSameRequest(again, REQUEST));
   });
 
   Object.entries(OTHERS).forEach(([what, other]) => {
     it(`differs with another ${what}`, () => {
-      assert.notEqual(digestRequest(other), digestRequest(ASK));
-      assert.ok(!isSameRequest(other, ASK));
+      assert.notEqual(digestRequest(other), digestRequest(REQUEST));
+      assert.ok(!isSameRequest(other, REQUEST));
     });
   });
 });
--- a/src/protocol/index.ts
+++ b/src/protocol/index.ts
@@ -4,7 +4,7 @@
   DocumentDialect,
   ForwardHead,
   HttpDialect,
-  NamedLimit,
+  AdvertisedLimit,
   RawHeaders,
   RequestHead,
 } from './ProtocolDialect.js';
@@ -19,7 +19,7 @@
 export { parseManifest, parseManifestQuickly } from './ProtocolManifestText.js';
 export {
   CALLER_HEADERS,
-  HOP_HEADERS,
+  GATE_HEADERS,
   type AnswerFrame,
   type ConfigDelta,
   type ConfigEntries,
@@ -41,8 +41,8 @@
   type SubmitReply,
   type SubmitRequest,
 } from './ProtocolMessages.js';
-export type { LimitNews, LimitRecord } from './ProtocolLimits.js';
-export type { QuarantineNews, SuspectRecord } from './ProtocolQuarantine.js';
+export type { LimitUpdate, LimitRecord } from './ProtocolLimits.js';
+export type { QuarantineUpdate, SuspectRecord } from './ProtocolQuarantine.js';
 export { digestRequest, isSameRequest, type RequestIdentity } from './ProtocolRequestDigest.js';
 export {
   ERROR_CODES,
--- a/src/state/StateConfig.ts
+++ b/src/state/StateConfig.ts
@@ -70,8 +70,8 @@
   };
 }
 
-function omit(entries: ConfigEntries, gone: ReadonlySet<string>): ConfigEntries {
-  return Object.fromEntries(Object.entries(entries).filter(([key]) => !gone.has(key)));
+function omit(entries: ConfigEntries, removedKeys: ReadonlySet<string>): ConfigEntries {
+  return Object.fromEntries(Object.entries(entries).filter(([key]) => !removedKeys.has(key)));
 }
 
 /** Entries after a delta. */
@@ -79,8 +79,8 @@
   entries: ConfigEntries,
   delta: Pick<ConfigDelta, 'set' | 'del'>,
 ): ConfigEntries {
-  const gone = new Set(delta.del);
-  const kept = gone.size === 0 ? entries : omit(entries, gone);
+  const removedKeys = new Set(delta.del);
+  const kept = removedKeys.size === 0 ? entries : omit(entries, removedKeys);
   return { ...kept, ...delta.set };
 }
 
--- a/src/state/StateControl.ts
+++ b/src/state/StateControl.ts
@@ -138,7 +138,7 @@
  * the same submission and gets the answer of the first; another digest is a conflict that names
  * what was accepted. The table is part of snapshots, so compaction and failover don't forget it.
  */
-export function judgeSubmission(
+export function checkSubmission(
   state: ControlState,
   fleet: string,
   version: number,
@@ -148,15 +148,15 @@
   if (known === undefined) {
     return 'new';
   }
-  const same = findAccepted(known.accepted, version);
-  if (same !== undefined) {
-    return same.digest === digest
-      ? { result: 'accepted', fleet, version, digest, index: same.index }
+  const acceptedBefore = findAccepted(known.accepted, version);
+  if (acceptedBefore !== undefined) {
+    return acceptedBefore.digest === digest
+      ? { result: 'accepted', fleet, version, digest, index: acceptedBefore.index }
       : {
           result: 'conflict',
           fleet,
           version,
-          acceptedDigest: same.digest,
+          acceptedDigest: acceptedBefore.digest,
           acceptedVersion: version,
         };
   }
@@ -173,9 +173,9 @@
 
 function applySubmit(state: ControlState, command: SubmitCommand, index: number): Applied {
   const { fleet, version, digest } = command;
-  const judged = judgeSubmission(state, fleet, version, digest);
-  if (judged !== 'new') {
-    return { state, result: judged };
+  const checkedReply = checkSubmission(state, fleet, version, digest);
+  if (checkedReply !== 'new') {
+    return { state, result: checkedReply };
   }
   const known = state.fleets[fleet];
   if ((known?.version ?? 0) !== command.base) {
@@ -279,8 +279,8 @@
     return [];
   }
   const start = deltas.findIndex((delta) => delta.from === index);
-  const joined = deltas.at(-1)?.to === config.index;
-  return index > 0 && start >= 0 && joined
+  const reachesConfig = deltas.at(-1)?.to === config.index;
+  return index > 0 && start >= 0 && reachesConfig
     ? deltas.slice(start)
     : [{ from: 0, to: config.index, set: config.entries, del: [] }];
 }
--- a/src/state/StateDataFolder.ts
+++ b/src/state/StateDataFolder.ts
@@ -50,17 +50,17 @@
 }
 
 async function writeSynced(file: string, data: Uint8Array): Promise<void> {
-  const fresh = `${file}.new`;
-  const handle = await open(fresh, 'w');
+  const temporary = `${file}.new`;
+  const handle = await open(temporary, 'w');
   await handle.writeFile(data);
   await handle.sync();
   await handle.close();
-  await rename(fresh, file);
+  await rename(temporary, file);
   await syncDirectory(path.dirname(file));
 }
 
 /** Content of a file, empty if there is none. Any other error is the caller's. */
-async function readIfThere(file: string): Promise<Buffer> {
+async function readIfExists(file: string): Promise<Buffer> {
   try {
     return await readFile(file);
   } catch (err) {
@@ -72,7 +72,7 @@
 }
 
 async function readIdentity(file: string, name: string): Promise<Identity> {
-  const text = (await readIfThere(file)).toString();
+  const text = (await readIfExists(file)).toString();
   if (text !== '') {
     return JSON.parse(text) as Identity;
   }
@@ -116,7 +116,7 @@
   #handle: FileHandle;
 
   /** Bytes of the journal that were synced; a failed write may have left more behind them. */
-  #size: number;
+  #syncedSize: number;
 
   #isTorn = false;
 
@@ -127,7 +127,7 @@
     handle: FileHandle,
     size: number,
   ) {
-    this.#size = size;
+    this.#syncedSize = size;
     this.#journal = journal;
     this.#identity = identity;
     this.#recovered = recovered;
@@ -143,7 +143,7 @@
     await mkdir(folder, { recursive: true });
     const identity = await readIdentity(path.join(folder, IDENTITY), name);
     const journal = path.join(folder, JOURNAL);
-    const data = await readIfThere(journal);
+    const data = await readIfExists(journal);
     const { records, end } = readRecords(journal, data);
     const handle = await open(journal, 'a');
     if (end < data.length) {
@@ -173,7 +173,7 @@
    */
   async append(records: readonly unknown[]): Promise<void> {
     if (this.#isTorn) {
-      await this.#handle.truncate(this.#size);
+      await this.#handle.truncate(this.#syncedSize);
       this.#isTorn = false;
     }
     const data = frame(records);
@@ -181,18 +181,18 @@
     await this.#handle.appendFile(data);
     await this.#handle.datasync();
     this.#isTorn = false;
-    this.#size += data.length;
+    this.#syncedSize += data.length;
   }
 
   /** Replaces the whole journal, atomically: after a crash either the old or the new is there. */
   async rewrite(records: readonly unknown[]): Promise<void> {
     const data = frame(records);
     await writeSynced(this.#journal, data);
-    const before = this.#handle;
+    const previousHandle = this.#handle;
     this.#handle = await open(this.#journal, 'a');
-    this.#size = data.length;
+    this.#syncedSize = data.length;
     this.#isTorn = false;
-    await before.close();
+    await previousHandle.close();
   }
 
   async close(): Promise<void> {
--- a/src/state/__tests__/unit/StateControl.test.ts
+++ b/src/state/__tests__/unit/StateControl.test.ts
@@ -70,7 +70,7 @@
   // Two endpoint processes find the lease unrenewed and ask at once. Both named the lease that they
   // saw; the second one's has changed since, so there is one holder, with a higher token.
   it('grants a lease to one of two rivals', () => {
-    const ask = (holder: string) =>
+    const leaseCommand = (holder: string) =>
       ({
         kind: 'lease',
         group: 'g',
@@ -78,8 +78,8 @@
         durationMs: 1,
         after: { token: 0 },
       }) as const;
-    const first = applyCommand(EMPTY_CONTROL, ask('a'), 1);
-    const second = applyCommand(first.state, ask('b'), 2);
+    const first = applyCommand(EMPTY_CONTROL, leaseCommand('a'), 1);
+    const second = applyCommand(first.state, leaseCommand('b'), 2);
     assert.equal(first.result.result, 'granted');
     assert.deepEqual(second.result, {
       result: 'held',
@@ -104,17 +104,17 @@
   // receiver must stay on the newer configuration, whether the old one comes as delta or snapshot.
   it('never goes back to an older index', () => {
     const { config } = accept(300);
-    const late = accept(40);
-    [...deltasSince(late, 0), ...late.deltas].forEach((delta) => {
+    const outdated = accept(40);
+    [...deltasSince(outdated, 0), ...outdated.deltas].forEach((delta) => {
       assert.deepEqual(applyConfigDelta(config, delta), { state: config, result: 'old' });
     });
   });
 
   it('asks again after a gap instead of applying what follows it', () => {
-    const held = accept(3).config;
+    const current = accept(3).config;
     const [, , , , fifth] = accept(6).deltas;
     assert.ok(fifth);
-    assert.deepEqual(applyConfigDelta(held, fifth), { state: held, result: 'gap' });
+    assert.deepEqual(applyConfigDelta(current, fifth), { state: current, result: 'gap' });
   });
 
   it('makes two deltas in a row one that does the same', () => {
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -21,7 +21,7 @@
   deltasSince,
   mergeDeltas,
   EMPTY_CONTROL,
-  judgeSubmission,
+  checkSubmission,
   type CommandResult,
   type ControlCommand,
   type ControlState,
--- a/src/transport/TransportCall.ts
+++ b/src/transport/TransportCall.ts
@@ -12,7 +12,7 @@
   readonly headers: string[];
   readonly body: Buffer | null;
   /** Whether it must not go on a connection that had calls before it, and none may go there after it. */
-  readonly isAlone?: boolean;
+  readonly usesOwnConnection?: boolean;
 }
 
 /** What happens to a call, in order; after `onEnd` or `onError` nothing follows. */
@@ -34,10 +34,10 @@
 }
 
 /** How long a connection may take to be made, ms: some hundred round trips between AZs. */
-const CONNECT_MS = 700;
+const CONNECT_TIMEOUT_MS = 700;
 
 /** An endpoint that doesn't say how long it keeps idle connections closes ours after this, ms. */
-const IDLE_MS = 4_000;
+const KEEP_ALIVE_MS = 4_000;
 
 /** A 304 names the length of the body that it doesn't have; the client library misses that body. */
 const NOT_MODIFIED = 304;
@@ -50,7 +50,7 @@
   /** Whether one of its sockets is failing right now. */
   readonly isFailing: () => boolean;
   /** Runs what gives a call up; the socket that it closes is reset. */
-  readonly giveUp: (abort: () => void) => void;
+  readonly abortWithReset: (abort: () => void) => void;
 }
 
 /**
@@ -63,7 +63,7 @@
  * A reset by Node forgets the error, without which the client library takes the end of the socket for the end of the
  * answer that was given up, and throws where nobody catches.
  */
-function resetWhile(socket: Socket, isResetting: () => boolean): void {
+function resetOnDestroyWhile(socket: Socket, isResetting: () => boolean): void {
   const destroy = socket.destroy.bind(socket);
   let isReset = false;
   let cause: Error | undefined;
@@ -148,28 +148,28 @@
 
 /** Opens connections to one endpoint as calls need them. */
 export function openPool(origin: string, connections: number): EndpointPool {
-  let givingUp = false;
-  const { connect, isFailing } = watchConnections(CONNECT_MS, (socket) =>
-    resetWhile(socket, () => givingUp),
+  let isAborting = false;
+  const { connect, isFailing } = watchConnections(CONNECT_TIMEOUT_MS, (socket) =>
+    resetOnDestroyWhile(socket, () => isAborting),
   );
   const pool = new Pool(origin, {
     connections,
     pipelining: 1,
     headersTimeout: 0,
     bodyTimeout: 0,
-    keepAliveTimeout: IDLE_MS,
-    keepAliveMaxTimeout: IDLE_MS * 4,
+    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveMaxTimeout: KEEP_ALIVE_MS * 4,
     connect,
   });
-  const giveUp = (abort: () => void): void => {
-    givingUp = true;
+  const abortWithReset = (abort: () => void): void => {
+    isAborting = true;
     try {
       abort();
     } finally {
-      givingUp = false;
+      isAborting = false;
     }
   };
-  return { origin, pool, isFailing, giveUp };
+  return { origin, pool, isFailing, abortWithReset };
 }
 
 function toText(raw: unknown): readonly string[] {
@@ -193,39 +193,43 @@
   call: OutgoingCall,
   listener: CallListener,
 ): RunningCall {
-  const isAlone = call.isAlone === true;
-  const { pool, isFailing, giveUp } = isAlone ? openPool(endpoint.origin, 1) : endpoint;
+  const usesOwnConnection = call.usesOwnConnection === true;
+  const { pool, isFailing, abortWithReset } = usesOwnConnection
+    ? openPool(endpoint.origin, 1)
+    : endpoint;
   let sent = false;
-  let over = false;
-  let answered = 0;
+  let isFinished = false;
+  let answerStatus = 0;
   let stop: ((err: Error) => void) | null = null;
   const finish = (): boolean => {
-    const first = !over;
-    over = true;
+    const first = !isFinished;
+    isFinished = true;
     return first;
   };
   pool.dispatch(call, {
     onRequestStart: (controller) => {
-      sent = !over && listener.onStart();
-      stop = (err) => giveUp(() => controller.abort(err));
+      sent = !isFinished && listener.onStart();
+      stop = (err) => abortWithReset(() => controller.abort(err));
       if (!sent) {
-        controller.abort(new Error(over ? 'the call was given up' : 'the call was kept back'));
+        controller.abort(
+          new Error(isFinished ? 'the call was given up' : 'the call was kept back'),
+        );
       }
     },
     onResponseStart: (controller, status, headers) => {
       const informational = status < 200;
-      if (!over && !isFramed(headers)) {
+      if (!isFinished && !isFramed(headers)) {
         controller.abort(new Error('the answer is in a transfer coding that is not known'));
         return;
       }
-      if (!over && !informational) {
-        answered = status;
+      if (!isFinished && !informational) {
+        answerStatus = status;
         const { rawHeaders } = controller as unknown as { readonly rawHeaders: unknown };
         listener.onHead(status, headers, toText(rawHeaders));
       }
     },
     onResponseData: (_controller, chunk) => {
-      if (!over) {
+      if (!isFinished) {
         listener.onData(chunk);
       }
     },
@@ -244,14 +248,14 @@
         return;
       }
       const { code } = err as NodeJS.ErrnoException;
-      if (answered === NOT_MODIFIED && code === LENGTH_MISMATCH) {
+      if (answerStatus === NOT_MODIFIED && code === LENGTH_MISMATCH) {
         listener.onEnd();
       } else {
         listener.onError(err, sent);
       }
     },
   });
-  if (isAlone) {
+  if (usesOwnConnection) {
     // Waits for the call; that it is aborted is told to its listener.
     pool.close().catch(() => undefined);
   }
--- a/src/transport/TransportFrames.ts
+++ b/src/transport/TransportFrames.ts
@@ -4,7 +4,7 @@
 import type { AnswerFrame } from '../protocol/index.js';
 
 /** Content type of a body of frames. */
-export const FRAMES_TYPE = 'application/x-laburnumgauge-frames';
+export const FRAMES_CONTENT_TYPE = 'application/x-laburnumgauge-frames';
 
 /** Writes frames. Records are coded by position, with their names sent once. */
 export class FrameWriter {
@@ -33,7 +33,7 @@
 const NEWLINE = 0x0a;
 
 /** End of the last whole event in a buffer of server-sent events, and how many there are. */
-export function findEvents(data: Buffer): { readonly end: number; readonly events: number } {
+export function scanWholeEvents(data: Buffer): { readonly end: number; readonly events: number } {
   let events = 0;
   let end = 0;
   let at = data.indexOf(NEWLINE);
@@ -58,7 +58,7 @@
 }
 
 /** The last of some whole events that is no comment, with its id as `readId` finds it; null where all are comments. */
-export function findLast(
+export function findLastEvent(
   events: Buffer,
   readId: (event: Buffer) => string | null,
 ): { readonly id: string | null } | null {
--- a/src/transport/TransportHttp.ts
+++ b/src/transport/TransportHttp.ts
@@ -9,7 +9,7 @@
 export const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
 /** Idle time of a kept-alive connection: longer than our clients', so that they close first. ms. */
-const KEEP_ALIVE_MS = 75_000;
+const KEEP_ALIVE_TIMEOUT_MS = 75_000;
 
 /** Serves a koa application until the signal; requests in progress are not cut by it. */
 export async function serveHttp(app: Koa, address: Address, signal: AbortSignal): Promise<Server> {
@@ -17,7 +17,7 @@
   const server = createServer((req, res) => {
     handler(req, res).catch(() => res.destroy());
   });
-  server.keepAliveTimeout = KEEP_ALIVE_MS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   server.requestTimeout = 0;
   signal.addEventListener('abort', () => {
     server.close();
--- a/src/transport/TransportLink.ts
+++ b/src/transport/TransportLink.ts
@@ -14,22 +14,22 @@
 import { LinkTimeoutError } from './TransportLinkTimeoutError.js';
 
 /** Each side sends at least this often. In ms. */
-export const BEAT_MS = 600;
+export const HEARTBEAT_INTERVAL_MS = 600;
 
 /**
  * A link on which nothing was heard for this long is closed: three beats, and short against the
  * leases that are renewed over links. In ms.
  */
-export const SILENT_MS = 2_000;
+export const LINK_TIMEOUT_MS = 2_000;
 
 /** Method that only shows that the peer is there. */
-export const BEAT = 'link.beat';
+export const HEARTBEAT_METHOD = 'link.beat';
 
 /** How long an answer may take unless the caller says otherwise. In ms. */
-export const REPLY_MS = 3_000;
+export const REPLY_TIMEOUT_MS = 3_000;
 
 /** Code of an error that no peer has sent: no answer came in time. */
-const TIMED_OUT = -32_000;
+const TIMEOUT_CODE = -32_000;
 
 /** Handles one method; what it returns is the reply. */
 export type LinkHandler = (params: unknown, link: TransportLink) => unknown;
@@ -62,11 +62,11 @@
 
   readonly #openedAt = performance.now();
 
-  #heardAt = this.#openedAt;
+  #lastReceivedAt = this.#openedAt;
 
-  #hasHole = false;
+  #hasDropped = false;
 
-  #wasSilent = false;
+  #hasTimedOut = false;
 
   constructor(
     socket: Socket,
@@ -79,7 +79,7 @@
     this.#isCut = isCut;
     socket.setNoDelay(true);
     const server = new JSONRPCServer({ errorListener: () => undefined });
-    server.addMethod(BEAT, () => null);
+    server.addMethod(HEARTBEAT_METHOD, () => null);
     Object.entries(handlers).forEach(([method, handler]) => {
       server.addMethod(method, (params: unknown) => handler(params, this));
     });
@@ -96,7 +96,7 @@
         resolve();
       });
     });
-    this.#beat();
+    this.#startHeartbeat();
   }
 
   /** Resolves once the link has ended. */
@@ -105,18 +105,18 @@
   }
 
   /** Whether the link was closed because nothing was heard on it. */
-  get wasSilent(): boolean {
-    return this.#wasSilent;
+  get hasTimedOut(): boolean {
+    return this.#hasTimedOut;
   }
 
   /** When anything was last heard, ms on the local monotonic clock. */
-  get heardAt(): number {
-    return this.#heardAt;
+  get lastReceivedAt(): number {
+    return this.#lastReceivedAt;
   }
 
   /** Whether anything was heard yet: a frozen host's kernel opens connections too. */
-  get hasHeard(): boolean {
-    return this.#heardAt > this.#openedAt;
+  get hasReceived(): boolean {
+    return this.#lastReceivedAt > this.#openedAt;
   }
 
   /** Bytes received and sent, without headers of lower layers. */
@@ -129,14 +129,14 @@
    *
    * @throws {LinkTimeoutError} if the answer takes too long.
    */
-  async request(method: string, params: unknown, timeoutMs = REPLY_MS): Promise<unknown> {
+  async request(method: string, params: unknown, timeoutMs = REPLY_TIMEOUT_MS): Promise<unknown> {
     const rpc = this.#client.timeout(timeoutMs, (id) =>
-      createJSONRPCErrorResponse(id, TIMED_OUT, 'timeout'),
+      createJSONRPCErrorResponse(id, TIMEOUT_CODE, 'timeout'),
     );
     try {
       return await rpc.request(method, params, undefined);
     } catch (err) {
-      throw err instanceof JSONRPCErrorException && err.code === TIMED_OUT
+      throw err instanceof JSONRPCErrorException && err.code === TIMEOUT_CODE
         ? new LinkTimeoutError(method, timeoutMs)
         : err;
     }
@@ -160,18 +160,18 @@
   /** While cut, drops. A link with a hole in it is closed after that: TCP never leaves one. */
   #isDropping(): boolean {
     if (this.#isCut(this)) {
-      this.#hasHole = true;
-    } else if (this.#hasHole) {
+      this.#hasDropped = true;
+    } else if (this.#hasDropped) {
       this.close();
     }
-    return this.#hasHole;
+    return this.#hasDropped;
   }
 
   #read(): void {
     const unpacker = new UnpackrStream();
     unpacker.on('data', (payload: unknown) => {
       if (!this.#isDropping()) {
-        this.#heardAt = performance.now();
+        this.#lastReceivedAt = performance.now();
         this.#rpc.receiveAndSend(payload, undefined, undefined).catch(() => undefined);
       }
     });
@@ -186,15 +186,15 @@
    * silent for good while new ones work. Enough: both ends send at an interval and drop a link
    * that was silent for three of them; whoever made it connects afresh. It says nothing about the peer's health.
    */
-  #beat(): void {
+  #startHeartbeat(): void {
     const timer = setInterval(() => {
-      if (performance.now() - this.#heardAt > SILENT_MS) {
-        this.#wasSilent = true;
+      if (performance.now() - this.#lastReceivedAt > LINK_TIMEOUT_MS) {
+        this.#hasTimedOut = true;
         this.close();
       } else {
-        this.notify(BEAT, {});
+        this.notify(HEARTBEAT_METHOD, {});
       }
-    }, BEAT_MS);
+    }, HEARTBEAT_INTERVAL_MS);
     this.#socket.once('close', () => clearInterval(timer));
   }
 }
--- a/src/transport/TransportLinkClient.ts
+++ b/src/transport/TransportLinkClient.ts
@@ -1,8 +1,13 @@
 /** Keeps one link up to one of several addresses. */
 import { setTimeout as delay } from 'node:timers/promises';
-import { BEAT, type LinkHandlers, type LinkSwitch, type TransportLink } from './TransportLink.js';
 import {
-  closeWith,
+  HEARTBEAT_METHOD,
+  type LinkHandlers,
+  type LinkSwitch,
+  type TransportLink,
+} from './TransportLink.js';
+import {
+  closeOnAbort,
   LinkConnector,
   type LinkAttemptFailure,
   type LinkTarget,
@@ -10,11 +15,11 @@
 import { raceForLink } from './TransportLinkSearch.js';
 
 /** Pause before the first repetition, ms: hosts that lost power together are back within tenths of a second. */
-const BACKOFF_MS = 50;
-const BACKOFF_MAX_MS = 1_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 1_000;
 
 /** How often a link to another than the first target is reconsidered. In ms. */
-const RETURN_MS = 5_000;
+const RETURN_INTERVAL_MS = 5_000;
 
 /** Why another target is looked for: the present one is of no use, or one that is preferred may be back. */
 export type LinkSearchReason = 'other' | 'return';
@@ -63,18 +68,18 @@
   #link: TransportLink | null = null;
 
   /** A link that a search has found, to take the place of the present one. */
-  #found: TransportLink | null = null;
+  #replacement: TransportLink | null = null;
 
   #search: LinkSearch | null = null;
 
   /** Whether another target is to be looked for once the search under way has ended. */
-  #isOtherWanted = false;
+  #isSearchQueued = false;
 
   /** Resolves once no search is under way. */
-  #searched: Promise<void> = Promise.resolve();
+  #searchDone: Promise<void> = Promise.resolve();
 
   /** When a peer was last heard on a link that has ended; at first, when this client was made. */
-  #heardBefore = performance.now();
+  #lastReceivedEarlier = performance.now();
 
   constructor(options: LinkClientOptions) {
     this.#options = options;
@@ -89,7 +94,7 @@
 
   /** When a peer was last heard, on this link or an earlier one; ms on the local monotonic clock. */
   get heardAt(): number {
-    return this.#link?.hasHeard === true ? this.#link.heardAt : this.#heardBefore;
+    return this.#link?.hasReceived === true ? this.#link.lastReceivedAt : this.#lastReceivedEarlier;
   }
 
   /** Calls a method of the peer. Rejects at once while there is no link. */
@@ -102,7 +107,7 @@
 
   /** Asks the peer for a sign of life. Rejects at once while there is no link. */
   async ping(timeoutMs: number): Promise<void> {
-    await this.request(BEAT, {}, timeoutMs);
+    await this.request(HEARTBEAT_METHOD, {}, timeoutMs);
   }
 
   /** Sends without waiting for an answer; does nothing while there is no link. */
@@ -117,7 +122,7 @@
    */
   searchOther(): void {
     if (this.#search?.reason === 'return') {
-      this.#isOtherWanted = true;
+      this.#isSearchQueued = true;
       this.#search.stop.abort();
       return;
     }
@@ -131,7 +136,7 @@
    * link, not for one in place of a useless one.
    */
   stopSearch(): void {
-    this.#isOtherWanted = false;
+    this.#isSearchQueued = false;
     if (this.#search?.reason === 'other') {
       this.#search.stop.abort();
     }
@@ -142,26 +147,26 @@
     let failures = 0;
     while (!signal.aborted) {
       // eslint-disable-next-line no-await-in-loop
-      await this.#searched;
+      await this.#searchDone;
       // One link at a time, by design: this loop is its owner.
       // eslint-disable-next-line no-await-in-loop
-      const link = this.#takeFound() ?? (await this.#openAny(failures));
+      const link = this.#takeReplacement() ?? (await this.#openAny(failures));
       // eslint-disable-next-line no-await-in-loop
-      await this.#keep(link);
+      await this.#serveLink(link);
       // A target that went silent is likely out of reach still: connecting to it first would hang.
-      failures = link === null || link.wasSilent ? failures + 1 : 0;
-      const pause = Math.min(BACKOFF_MAX_MS, BACKOFF_MS * 2 ** failures);
-      if (this.#found === null) {
+      failures = link === null || link.hasTimedOut ? failures + 1 : 0;
+      const pause = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
+      if (this.#replacement === null) {
         // eslint-disable-next-line no-await-in-loop
         await delay(pause * (0.5 + jitter()), undefined, { signal }).catch(() => undefined);
       }
     }
-    this.#takeFound()?.close();
+    this.#takeReplacement()?.close();
   }
 
-  #takeFound(): TransportLink | null {
-    const found = this.#found;
-    this.#found = null;
+  #takeReplacement(): TransportLink | null {
+    const found = this.#replacement;
+    this.#replacement = null;
     return found;
   }
 
@@ -173,10 +178,10 @@
     const { signal, targets } = this.#options;
     const known = targets();
     const first = failures % Math.max(1, known.length);
-    const inTurn = [...known.slice(first), ...known.slice(0, first)];
-    return inTurn.length > 1
-      ? raceForLink(this.#connector, inTurn, { stop: signal, end: signal })
-      : this.#open(inTurn[0]);
+    const rotated = [...known.slice(first), ...known.slice(0, first)];
+    return rotated.length > 1
+      ? raceForLink(this.#connector, rotated, { stop: signal, end: signal })
+      : this.#open(rotated[0]);
   }
 
   /** Connects to a target and brings the link up; null where that fails. */
@@ -187,18 +192,18 @@
   }
 
   /** Serves a link to its end. */
-  async #keep(link: TransportLink | null): Promise<void> {
+  async #serveLink(link: TransportLink | null): Promise<void> {
     if (link === null) {
       return;
     }
-    const undo = closeWith(this.#options.signal, link);
+    const undo = closeOnAbort(this.#options.signal, link);
     const stop = this.#returnToFirst(link);
     this.#link = link;
     await link.closed;
     this.#link = null;
     stop();
     undo();
-    this.#heardBefore = link.hasHeard ? link.heardAt : this.#heardBefore;
+    this.#lastReceivedEarlier = link.hasReceived ? link.lastReceivedAt : this.#lastReceivedEarlier;
   }
 
   /**
@@ -214,7 +219,7 @@
           this.#startSearch('return', [first]);
         }
       },
-      RETURN_MS * (0.5 + jitter()),
+      RETURN_INTERVAL_MS * (0.5 + jitter()),
     );
     return () => clearInterval(timer);
   }
@@ -232,7 +237,7 @@
     const stop = new AbortController();
     this.#search = { reason, stop };
     const signals = { stop: stop.signal, end: this.#options.signal };
-    this.#searched = raceForLink(this.#connector, targets, signals).then((found) => {
+    this.#searchDone = raceForLink(this.#connector, targets, signals).then((found) => {
       this.#options.onSearched?.({
         reason,
         from,
@@ -246,12 +251,12 @@
 
   #onSearched(found: TransportLink | null): void {
     this.#search = null;
-    this.#found = found;
-    const isOtherWanted = this.#isOtherWanted && found === null;
-    this.#isOtherWanted = false;
+    this.#replacement = found;
+    const isSearchQueued = this.#isSearchQueued && found === null;
+    this.#isSearchQueued = false;
     if (found !== null) {
       this.#link?.close();
-    } else if (isOtherWanted) {
+    } else if (isSearchQueued) {
       this.searchOther();
     }
   }
--- a/src/transport/TransportLinkConnector.ts
+++ b/src/transport/TransportLinkConnector.ts
@@ -2,13 +2,18 @@
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import type { Address } from './TransportAddress.js';
-import { BEAT, TransportLink, type LinkHandlers, type LinkSwitch } from './TransportLink.js';
+import {
+  HEARTBEAT_METHOD,
+  TransportLink,
+  type LinkHandlers,
+  type LinkSwitch,
+} from './TransportLink.js';
 
 /**
  * An attempt to connect takes at most three round trips between regions. A host without power drops it, and the
  * kernel tries again only after a second, by which time the host may have been up for long. In ms.
  */
-const CONNECT_MS = 300;
+const CONNECT_TIMEOUT_MS = 300;
 
 /** Where a link may lead. */
 export interface LinkTarget {
@@ -45,25 +50,25 @@
  */
 async function openSocket(address: Address, signal: AbortSignal): Promise<Socket> {
   const socket = connect({ host: address.host, port: address.port });
-  const giveUp = (): void => {
+  const abort = (): void => {
     socket.destroy(new Error('connect timed out or was given up'));
   };
-  const timer = setTimeout(giveUp, CONNECT_MS);
-  signal.addEventListener('abort', giveUp);
+  const timer = setTimeout(abort, CONNECT_TIMEOUT_MS);
+  signal.addEventListener('abort', abort);
   if (signal.aborted) {
-    giveUp();
+    abort();
   }
   try {
     await once(socket, 'connect');
     return socket;
   } finally {
     clearTimeout(timer);
-    signal.removeEventListener('abort', giveUp);
+    signal.removeEventListener('abort', abort);
   }
 }
 
 /** Closes a link when a signal comes; returns its undo. */
-export function closeWith(signal: AbortSignal, link: TransportLink): () => void {
+export function closeOnAbort(signal: AbortSignal, link: TransportLink): () => void {
   const onAbort = (): void => link.close();
   signal.addEventListener('abort', onAbort);
   return () => signal.removeEventListener('abort', onAbort);
@@ -91,15 +96,17 @@
   }
 
   /** Connects to a target and waits for a sign of life. */
-  async reach(
+  async connectAndPing(
     target: LinkTarget,
-    mostMs: number,
+    timeoutMs: number,
     signal: AbortSignal,
   ): Promise<TransportLink | null> {
     const link = await this.connect(target, signal);
     const isAlive =
       link !== null &&
-      (await this.#tryStep(link, signal, 'signOfLife', async () => link.request(BEAT, {}, mostMs)));
+      (await this.#tryStep(link, signal, 'signOfLife', async () =>
+        link.request(HEARTBEAT_METHOD, {}, timeoutMs),
+      ));
     return isAlive ? link : null;
   }
 
@@ -115,7 +122,7 @@
     stage: LinkStage,
     step: () => Promise<unknown>,
   ): Promise<boolean> {
-    const undo = closeWith(signal, link);
+    const undo = closeOnAbort(signal, link);
     try {
       await step();
       return !signal.aborted;
--- a/src/transport/TransportLinkSearch.ts
+++ b/src/transport/TransportLinkSearch.ts
@@ -10,7 +10,7 @@
 const STAGGER_MS = 100;
 
 /** A target that gives no sign of life for this long is left out of a search. In ms. */
-const PING_MS = 1_000;
+const PING_TIMEOUT_MS = 1_000;
 
 /** What ends a race: `stop` before a target takes the process in, `end` at any time. */
 export interface RaceSignals {
@@ -35,30 +35,32 @@
   targets: readonly LinkTarget[],
   { stop, end }: RaceSignals,
 ): Promise<TransportLink | null> {
-  const over = new AbortController();
-  const signal = AbortSignal.any([stop, end, over.signal]);
+  const finished = new AbortController();
+  const signal = AbortSignal.any([stop, end, finished.signal]);
   let found: TransportLink | null = null;
   // One at a time is brought up, so that no two hubs count this process as theirs.
-  let turn = Promise.resolve();
+  let bringUpQueue = Promise.resolve();
   const bringUp = async (link: TransportLink): Promise<void> => {
     if (found === null && !signal.aborted && (await connector.bringUp(link, end))) {
       found = link;
-      over.abort();
+      finished.abort();
     } else {
       link.close();
     }
   };
   const tryTarget = async (target: LinkTarget): Promise<void> => {
-    const link = signal.aborted ? null : await connector.reach(target, PING_MS, signal);
+    const link = signal.aborted
+      ? null
+      : await connector.connectAndPing(target, PING_TIMEOUT_MS, signal);
     if (link !== null) {
-      turn = turn.then(async () => bringUp(link));
-      await turn;
+      bringUpQueue = bringUpQueue.then(async () => bringUp(link));
+      await bringUpQueue;
     }
   };
-  let mayBegin = Promise.resolve();
+  let nextStart = Promise.resolve();
   const attempts = targets.map(async (target) => {
-    const attempt = mayBegin.then(async () => tryTarget(target));
-    mayBegin = mayBegin.then(async () => Promise.race([attempt, waitStagger(signal)]));
+    const attempt = nextStart.then(async () => tryTarget(target));
+    nextStart = nextStart.then(async () => Promise.race([attempt, waitStagger(signal)]));
     return attempt;
   });
   await Promise.all(attempts);
--- a/src/transport/TransportParts.ts
+++ b/src/transport/TransportParts.ts
@@ -11,7 +11,7 @@
 export const PART_BYTES = 4_096;
 
 /** Messages shorter than this go as they are. In bytes. */
-const SMALL_BYTES = 1_024;
+const MAX_UNSPLIT_BYTES = 1_024;
 
 interface Part {
   readonly id: number;
@@ -22,13 +22,13 @@
 }
 
 /** How long to wait after so many bytes were sent. In ms. */
-export type Pace = (bytes: number) => number;
+export type SendDelay = (bytes: number) => number;
 
 /** Sends messages in order; what is large goes in parts, at the pace given. */
 export class PartsSender {
   readonly #link: TransportLink;
 
-  readonly #pace: Pace;
+  readonly #sendDelay: SendDelay;
 
   #queue: Promise<void> = Promise.resolve();
 
@@ -37,9 +37,9 @@
 
   #counter = 0;
 
-  constructor(link: TransportLink, pace: Pace) {
+  constructor(link: TransportLink, sendDelay: SendDelay) {
     this.#link = link;
-    this.#pace = pace;
+    this.#sendDelay = sendDelay;
   }
 
   /** Queues a message behind those queued before. */
@@ -64,22 +64,22 @@
       waiting.params = merged;
       return;
     }
-    const slot = { params: params as unknown };
-    this.#mergeable.set(method, slot);
+    const queued = { params: params as unknown };
+    this.#mergeable.set(method, queued);
     this.#queue = this.#queue
       .then(async () => {
-        if (this.#mergeable.get(method) === slot) {
+        if (this.#mergeable.get(method) === queued) {
           this.#mergeable.delete(method);
         }
-        await this.#send(method, slot.params, pack(slot.params));
+        await this.#send(method, queued.params, pack(queued.params));
       })
       .catch(() => undefined);
   }
 
   async #send(method: string, params: unknown, packed: Buffer): Promise<void> {
-    if (packed.length <= SMALL_BYTES) {
+    if (packed.length <= MAX_UNSPLIT_BYTES) {
       this.#link.notify(method, params);
-      this.#pace(packed.length);
+      this.#sendDelay(packed.length);
       return;
     }
     const bytes = await deflate(packed);
@@ -92,7 +92,7 @@
       }
       const slice = bytes.subarray(part * PART_BYTES, (part + 1) * PART_BYTES);
       this.#link.notify('link.part', { id, method, part, parts, bytes: slice } satisfies Part);
-      const waitMs = this.#pace(slice.length);
+      const waitMs = this.#sendDelay(slice.length);
       if (waitMs > 0) {
         await new Promise((resolve) => {
           setTimeout(resolve, waitMs).unref();
@@ -105,7 +105,7 @@
 }
 
 /** What has come of a message so far. */
-interface Received {
+interface PartialMessage {
   readonly id: number;
   readonly parts: readonly Uint8Array[];
 }
@@ -123,14 +123,14 @@
   handlers: LinkHandlers,
   onProgress: () => void = () => undefined,
 ): LinkHandlers {
-  const byLink = new WeakMap<TransportLink, Received>();
+  const byLink = new WeakMap<TransportLink, PartialMessage>();
   const onPart: LinkHandler = async (params, link) => {
     const { id, part, parts, method, bytes } = params as Part;
-    const before = part === 0 ? { id, parts: [] } : byLink.get(link);
-    if (before?.id !== id || before.parts.length !== part) {
+    const previous = part === 0 ? { id, parts: [] } : byLink.get(link);
+    if (previous?.id !== id || previous.parts.length !== part) {
       return;
     }
-    const received = [...before.parts, bytes];
+    const received = [...previous.parts, bytes];
     byLink.set(link, { id, parts: received });
     onProgress();
     if (received.length === parts) {
--- a/src/transport/TransportProbe.ts
+++ b/src/transport/TransportProbe.ts
@@ -13,20 +13,20 @@
   | 'unknown';
 
 /** An answer takes this long at most: some ten round trips between AZs. In ms. */
-const ANSWER_MS = 60;
+const CONNECT_TIMEOUT_MS = 60;
 
 /** A probe that is taken and not closed at once tells no more for a while, ms. */
-const TAKEN_MS = 20;
+const ACCEPTED_MS = 20;
 
 /**
  * A connection that stays open this long has been kept. A proxy in front of a process that has ended takes it as
  * well, and closes it once it has found nobody. In ms.
  */
-const KEPT_MS = 300;
+const KEPT_OPEN_MS = 300;
 
 /** Connections tried at most, and the pause between them, ms: a process is done with ending by then. */
-const TRIES = 3;
-const PAUSE_MS = 40;
+const MAX_TRIES = 3;
+const RETRY_PAUSE_MS = 40;
 
 /** A probe under way. */
 export interface Probe {
@@ -46,11 +46,11 @@
       socket.destroy();
       resolve(found);
     };
-    timers.push(setTimeout(() => end('unknown'), ANSWER_MS));
+    timers.push(setTimeout(() => end('unknown'), CONNECT_TIMEOUT_MS));
     socket.once('connect', () => {
       timers.forEach((timer) => clearTimeout(timer));
-      timers.push(setTimeout(onTaken, TAKEN_MS));
-      timers.push(setTimeout(() => end('open'), KEPT_MS));
+      timers.push(setTimeout(onTaken, ACCEPTED_MS));
+      timers.push(setTimeout(() => end('open'), KEPT_OPEN_MS));
     });
     socket.once('close', () => end('unknown'));
     socket.once('error', (err: NodeJS.ErrnoException) =>
@@ -67,14 +67,14 @@
  * again until the process must be done with ending.
  */
 async function probe(address: Address, onTaken: () => void): Promise<ProbeResult> {
-  for (let left = TRIES; left > 1; left -= 1) {
+  for (let left = MAX_TRIES; left > 1; left -= 1) {
     // eslint-disable-next-line no-await-in-loop
     const found = await tryOnce(address, onTaken);
     if (found !== 'unknown') {
       return found;
     }
     // eslint-disable-next-line no-await-in-loop
-    await delay(PAUSE_MS);
+    await delay(RETRY_PAUSE_MS);
   }
   return tryOnce(address, onTaken);
 }
@@ -87,13 +87,13 @@
   });
   const result = probe(address, settle);
   result.finally(settle).catch(() => undefined);
-  setTimeout(settle, ANSWER_MS + PAUSE_MS).unref();
+  setTimeout(settle, CONNECT_TIMEOUT_MS + RETRY_PAUSE_MS).unref();
   return { result, settled };
 }
 
 /** Probes the host and port of a URL. */
 export function probeUrl(url: string): Probe {
   const { hostname, port, protocol } = new URL(url);
-  const usual = protocol === 'https:' ? 443 : 80;
-  return probeAddress({ host: hostname, port: port === '' ? usual : Number(port) });
+  const defaultPort = protocol === 'https:' ? 443 : 80;
+  return probeAddress({ host: hostname, port: port === '' ? defaultPort : Number(port) });
 }
--- a/src/transport/__tests__/unit/TransportCall.test.ts
+++ b/src/transport/__tests__/unit/TransportCall.test.ts
@@ -17,7 +17,7 @@
   });
 }).listen({ port: 0, host: '127.0.0.1' }, function () { console.log(this.address().port); })`;
 
-const SILENT: CallListener = {
+const NOOP_LISTENER: CallListener = {
   onStart: () => true,
   onHead: () => undefined,
   onData: () => undefined,
@@ -42,13 +42,13 @@
 }
 
 /** Sends a request of this size to a server that stands still, and gives it up; how the server saw its end. */
-async function giveUpAtStopped(bodyBytes: number): Promise<string> {
+async function abortAtStoppedServer(bodyBytes: number): Promise<string> {
   const { child, origin, nextLine } = await startServer();
   child.kill('SIGSTOP');
   const endpoint = openPool(origin, 1);
   const body = Buffer.alloc(bodyBytes);
   const call = { method: 'POST', path: '/', headers: ['content-length', `${bodyBytes}`], body };
-  const running = startCall(endpoint, call, SILENT);
+  const running = startCall(endpoint, call, NOOP_LISTENER);
   await delay(300);
   running.abort();
   await delay(100);
@@ -61,7 +61,7 @@
 }
 
 /** Gives a call up in the middle of an answer that ends with its connection; what was thrown where nobody awaits. */
-async function giveUpWithin(step: 'onHead' | 'onData'): Promise<readonly string[]> {
+async function abortDuring(step: 'onHead' | 'onData'): Promise<readonly string[]> {
   const thrown: string[] = [];
   const onThrown = (err: Error): number => thrown.push(err.message);
   const server = createServer((socket) => {
@@ -73,7 +73,7 @@
   const endpoint = openPool(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, 1);
   process.prependListener('uncaughtException', onThrown);
   const call = { method: 'GET', path: '/', headers: [], body: null };
-  const running = startCall(endpoint, call, { ...SILENT, [step]: () => running.abort() });
+  const running = startCall(endpoint, call, { ...NOOP_LISTENER, [step]: () => running.abort() });
   await delay(100);
   process.off('uncaughtException', onThrown);
   // A client that has thrown may never be done with it.
@@ -83,8 +83,8 @@
 }
 
 /** Sends a call to an endpoint that answers with these bytes, and ends; what is heard of it. */
-async function hear(answer: string): Promise<readonly string[]> {
-  const heard: string[] = [];
+async function callbacksFor(answer: string): Promise<readonly string[]> {
+  const callbacks: string[] = [];
   const server = createServer((socket) => socket.once('data', () => socket.end(answer)));
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -92,19 +92,19 @@
   const call = { method: 'GET', path: '/', headers: [], body: null };
   await new Promise<void>((resolve) => {
     const end = (what: string): void => {
-      heard.push(what);
+      callbacks.push(what);
       resolve();
     };
     startCall(endpoint, call, {
-      ...SILENT,
-      onHead: (status) => heard.push(String(status)),
+      ...NOOP_LISTENER,
+      onHead: (status) => callbacks.push(String(status)),
       onEnd: () => end('end'),
       onError: (_err, sent) => end(sent ? 'error' : 'unsent'),
     });
   });
   await endpoint.pool.destroy();
   server.close();
-  return heard;
+  return callbacks;
 }
 
 describe('startCall', () => {
@@ -112,14 +112,14 @@
   ['gzip', 'gzip, chunked', 'chunked, gzip'].forEach((coding) => {
     it(`takes an answer in ${coding} for none`, async () => {
       const answer = `HTTP/1.1 200 OK\r\nTransfer-Encoding: ${coding}\r\n\r\n3\r\nabc\r\n0\r\n\r\n`;
-      assert.deepEqual(await hear(answer), ['error']);
+      assert.deepEqual(await callbacksFor(answer), ['error']);
     });
   });
 
   // Guards against: a call that is given up while its answer comes ends the process and every stream on it.
   (['onHead', 'onData'] as const).forEach((step) => {
     it(`may be given up in ${step}`, async () => {
-      assert.deepEqual(await giveUpWithin(step), []);
+      assert.deepEqual(await abortDuring(step), []);
     });
   });
 
@@ -128,13 +128,13 @@
   // works for nobody. A reset drops what wasn't delivered, and what was finds its connection gone.
   [200, 60_000, 500_000, 4_000_000].forEach((bodyBytes) => {
     it(`takes a request of ${bodyBytes} bytes back from a host that stands still`, async () => {
-      assert.match(await giveUpAtStopped(bodyBytes), /^reset /);
+      assert.match(await abortAtStoppedServer(bodyBytes), /^reset /);
     });
   });
 
   // As before, with more than the host's kernel takes in: the rest must not come once the host wakes.
   it('leaves nothing to be delivered later', async () => {
-    const [, bytes] = (await giveUpAtStopped(500_000)).split(' ');
+    const [, bytes] = (await abortAtStoppedServer(500_000)).split(' ');
     assert.ok(Number(bytes) < 500_000, `${bytes} bytes`);
   });
 });
--- a/src/transport/__tests__/unit/TransportFrames.test.ts
+++ b/src/transport/__tests__/unit/TransportFrames.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { findLast } from '../../index.js';
+import { findLastEvent } from '../../index.js';
 
 const readId = (event: Buffer): string | null => /^id: (.*)$/m.exec(event.toString())?.[1] ?? null;
 
-function lastOf(...events: readonly string[]): ReturnType<typeof findLast> {
-  return findLast(Buffer.from(events.map((event) => `${event}\n\n`).join('')), readId);
+function lastOf(...events: readonly string[]): ReturnType<typeof findLastEvent> {
+  return findLastEvent(Buffer.from(events.map((event) => `${event}\n\n`).join('')), readId);
 }
 
 describe('the last of some events', () => {
--- a/src/transport/__tests__/unit/TransportLinkClient.test.ts
+++ b/src/transport/__tests__/unit/TransportLinkClient.test.ts
@@ -7,7 +7,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import {
-  BEAT,
+  HEARTBEAT_METHOD,
   LinkTimeoutError,
   TransportLink,
   TransportLinkClient,
@@ -89,7 +89,7 @@
 }
 
 /** Forces garbage collections, which a process that starts or works hard has by itself. */
-function collector(): () => void {
+function exposeGc(): () => void {
   setFlagsFromString('--expose-gc');
   return runInNewContext('gc') as () => void;
 }
@@ -98,7 +98,7 @@
   { port: 0, host: '127.0.0.1', backlog: 1 }, function () { console.log(this.address().port); })`;
 
 /** Connections that fill the queue of a host that takes none from it. */
-const QUEUE = 4;
+const BACKLOG_CONNECTIONS = 4;
 
 /** A host that answers no attempt to connect, as one without power: its queue is full, and it stands still. */
 async function startSilentHost(signal: AbortSignal): Promise<LinkTarget> {
@@ -108,7 +108,9 @@
   const [line] = (await once(child.stdout, 'data')) as [Buffer];
   const port = Number(line.toString());
   child.kill('SIGSTOP');
-  const sockets = Array.from({ length: QUEUE }, () => connect({ host: '127.0.0.1', port }));
+  const sockets = Array.from({ length: BACKLOG_CONNECTIONS }, () =>
+    connect({ host: '127.0.0.1', port }),
+  );
   sockets.forEach((socket) => socket.on('error', () => undefined));
   signal.addEventListener('abort', () => {
     sockets.forEach((socket) => socket.destroy());
@@ -131,8 +133,8 @@
   return [silent, other];
 }
 
-async function waitFor(done: () => boolean, mostMs = Infinity): Promise<void> {
-  const until = performance.now() + mostMs;
+async function waitFor(done: () => boolean, timeoutMs = Infinity): Promise<void> {
+  const until = performance.now() + timeoutMs;
   while (!done()) {
     assert.ok(performance.now() < until, 'not in time');
     // eslint-disable-next-line no-await-in-loop
@@ -148,7 +150,7 @@
   it('gives up a host that never answers, whatever is collected meanwhile', async () => {
     const stop = new AbortController();
     const [silent, other] = await startSilentAndOther(stop.signal);
-    const collect = collector();
+    const collect = exposeGc();
     const timer = setInterval(collect, 20);
     const client = startClient([silent, other], stop.signal);
     await waitFor(() => client.link?.target === other.name, 20_000).finally(() => {
@@ -190,13 +192,13 @@
     );
     const client = startClient([peer], stop.signal);
     await waitFor(() => client.link !== null);
-    const questions = Array.from({ length: 40 }, async (_none, i) =>
+    const requests = Array.from({ length: 40 }, async (_none, i) =>
       client.ping(50 + i / 7).then(
         () => null,
         (err: unknown) => err,
       ),
     );
-    const errors = await Promise.all(questions);
+    const errors = await Promise.all(requests);
     stop.abort();
     assert.ok(errors.every((err) => err instanceof LinkTimeoutError));
   });
@@ -297,7 +299,7 @@
     const peers = await startPeers(2, () => false, stop.signal);
     const client = startClient(peers, stop.signal, async (link) => {
       joined.push(link.target);
-      await link.request(BEAT, {});
+      await link.request(HEARTBEAT_METHOD, {});
       if (joined.length > 1) {
         client.stopSearch();
       }
--- a/src/transport/__tests__/unit/TransportProbe.test.ts
+++ b/src/transport/__tests__/unit/TransportProbe.test.ts
@@ -4,7 +4,7 @@
 import { probeAddress } from '../../TransportProbe.js';
 
 /** Runs a task beside a server that does something with each connection. */
-async function beside(
+async function withServer(
   host: string,
   onSocket: (socket: Socket) => void,
   task: (address: { host: string; port: number }) => Promise<void>,
@@ -27,16 +27,16 @@
 
 describe('a probe of an address', () => {
   it('tells a process that listens from one that has ended', async () => {
-    let gone = { host: '127.0.0.1', port: 0 };
-    await beside(
+    let closedAddress = { host: '127.0.0.1', port: 0 };
+    await withServer(
       '127.0.0.1',
       () => undefined,
       async (address) => {
         assert.equal(await probeAddress(address).result, 'open');
-        gone = address;
+        closedAddress = address;
       },
     );
-    assert.equal(await probeAddress(gone).result, 'refused');
+    assert.equal(await probeAddress(closedAddress).result, 'refused');
   });
 
   // A proxy in front of a process that has ended takes the connection, and a loaded one takes a tenth of a second to
@@ -48,7 +48,7 @@
     ];
     await Promise.all(
       closings.map(async (close) =>
-        beside('127.0.0.1', close, async (address) =>
+        withServer('127.0.0.1', close, async (address) =>
           assert.equal(await probeAddress(address).result, 'unknown'),
         ),
       ),
@@ -56,7 +56,7 @@
   });
 
   it('keeps nobody waiting for long where it is taken', async () => {
-    await beside(
+    await withServer(
       '127.0.0.1',
       () => undefined,
       async (address) => {
--- a/src/transport/index.ts
+++ b/src/transport/index.ts
@@ -12,18 +12,18 @@
 export { resetSocket } from './TransportReset.js';
 export {
   DONE_EVENT,
-  findEvents,
-  findLast,
-  FRAMES_TYPE,
+  scanWholeEvents,
+  findLastEvent,
+  FRAMES_CONTENT_TYPE,
   FrameWriter,
   readFrames,
 } from './TransportFrames.js';
 export { headerOf, MAX_BODY_BYTES, readBody, serveHttp } from './TransportHttp.js';
 export {
-  BEAT,
-  BEAT_MS,
-  REPLY_MS,
-  SILENT_MS,
+  HEARTBEAT_METHOD,
+  HEARTBEAT_INTERVAL_MS,
+  REPLY_TIMEOUT_MS,
+  LINK_TIMEOUT_MS,
   TransportLink,
   type LinkHandler,
   type LinkHandlers,
@@ -39,4 +39,4 @@
 export { LinkTimeoutError } from './TransportLinkTimeoutError.js';
 export { serveLinks, type LinkServerOptions } from './TransportLinkServer.js';
 export { probeAddress, probeUrl, type Probe, type ProbeResult } from './TransportProbe.js';
-export { PART_BYTES, PartsSender, withParts, type Pace } from './TransportParts.js';
+export { PART_BYTES, PartsSender, withParts, type SendDelay } from './TransportParts.js';
