--- a/src/protocol/ProtocolDialect.ts
+++ b/src/protocol/ProtocolDialect.ts
@@ -1,79 +1,79 @@
-/** How a platform's callers and endpoints speak; its adapter implements this and decides nothing. */
+/** Interfaces that a platform's adapter implements to read and write its messages; adapters make no decisions. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { RoutePlan } from './ProtocolRoutes.js';
 
-/** Header names and values in turn, as they stand on the wire. */
+/** Alternating header names and values, as received or sent. */
 export type RawHeaders = readonly string[];
 
-/** What a caller's request says beside its method, path and body. */
+/** Metadata of a caller's request, without its method, path and body. */
 export interface RequestHead {
-  /** Id of this request, given by the caller; empty if it gave none. */
+  /** Request id set by the caller; empty if it set none. */
   readonly id: string;
-  /** Time that the caller waits, ms; null if it doesn't say. */
+  /** How long the caller waits, ms; null if not given. */
   readonly deadlineMs: number | null;
-  /** Key that names the customer; null for none. */
+  /** Key that identifies the customer; null if there is none. */
   readonly key: string | null;
-  /** Tokens of the prompt, and of the answer at most; null where it isn't said. */
+  /** Number of prompt tokens and maximum number of answer tokens; null if not given. */
   readonly tokens: { readonly prompt: number; readonly answer: number } | null;
-  /** The caller's own guess at the tokens of the answer; null for none. */
+  /** The caller's estimate of the number of answer tokens; null if not given. */
   readonly expectedTokens: number | null;
-  /** Last event that the caller has of a stream that it resumes; null for a new one. */
+  /** Id of the last event received of the stream that the caller resumes; null for a new stream. */
   readonly lastEvent: string | null;
 }
 
-/** What the system adds to a request that it passes on. */
+/** Metadata that is added to a forwarded request. */
 export interface ForwardHead {
-  /** The only instance that may run it. */
+  /** The only instance that may run the request. */
   readonly instance: string;
-  /** Time left, ms. */
+  /** Remaining time, ms. */
   readonly deadlineMs: number;
-  /** Customer's name; null where the request needs no key. */
+  /** Customer's name; null if the request needs no key. */
   readonly customer: string | null;
-  /** Event after which a stream goes on; null for what the caller itself asked. */
+  /** Id of the event after which a stream is resumed; null to forward the caller's own value. */
   readonly resumeAfter: string | null;
 }
 
 /**
- * The requests a second that an endpoint takes from all entry hosts together, as one of its answers names them; `none`
- * where it names no limit, `unreadable` where it names one that is no number.
+ * Rate limit advertised in an endpoint's answer, in requests per second from all entry hosts together; `none` if the
+ * answer has no limit, `unreadable` if the limit isn't a number.
  */
 export type AdvertisedLimit = number | 'none' | 'unreadable';
 
-/** What the head of an endpoint's answer says. */
+/** Content of the status line and headers of an endpoint's answer. */
 export interface AnswerHead {
   readonly status: number;
-  /** Id of the request that it answers, as the endpoint echoes it; null if it doesn't. */
+  /** Id of the answered request, as echoed by the endpoint; null if it echoes none. */
   readonly id: string | null;
-  /** Whether an endpoint vouches for it as its own. */
+  /** Whether the answer carries the endpoint's seal, which shows that the endpoint itself wrote it. */
   readonly sealed: boolean;
-  /** Whether it says that the request has not run and never will at this endpoint. */
+  /** Whether the endpoint states that it hasn't run the request and never will. */
   readonly notRun: boolean;
-  /** Whether another instance than the one expected has answered. */
+  /** Whether an instance other than the expected one answered. */
   readonly wrongInstance: boolean;
-  /** Instance that is to blame for the failure, where another than the one that answered. */
+  /** Instance that caused the failure, if it isn't the one that answered. */
   readonly faultyInstance: string | null;
   readonly isStream: boolean;
   readonly limit: AdvertisedLimit;
-  /** Time for which an endpoint that refuses wants nothing from this host, ms; `unreadable` for no time. */
+  /** Backoff that a refusing endpoint asks of this host, ms; `unreadable` if the value isn't a time. */
   readonly restMs: number | 'none' | 'unreadable';
-  /** Whether the endpoint is about to end. */
+  /** Whether the endpoint is about to shut down. */
   readonly isLeaving: boolean;
 }
 
-/** How a platform's HTTP messages are read and written. */
+/** Reads and writes a platform's HTTP messages. */
 export interface HttpDialect {
   readRequest: (headers: IncomingHttpHeaders) => RequestHead;
-  /** Headers of the request as it is passed on. */
+  /** Headers of the forwarded request. */
   writeForward: (raw: RawHeaders, forward: ForwardHead) => string[];
   readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
-  /** Headers of the answer as it is passed back, without those of one connection. */
+  /** Headers of the answer for the caller, without hop-by-hop headers. */
   writeAnswer: (raw: RawHeaders) => string[];
-  /** Id of a stream's event; null if it has none. */
+  /** Id of a stream event; null if it has none. */
   eventId: (event: Buffer) => string | null;
 }
 
-/** How a platform's configuration documents are read. */
+/** Reads a platform's configuration documents. */
 export interface DocumentDialect {
-  /** @throws {FindingsError} with all that is wrong with the document. */
+  /** @throws {FindingsError} with all problems of the document. */
   readPlan: (text: string) => RoutePlan;
 }
--- a/src/protocol/ProtocolFindings.ts
+++ b/src/protocol/ProtocolFindings.ts
@@ -1,12 +1,12 @@
-/** Findings: problems in input, each with its place, collected and reported together. */
+/** Findings: problems in an input, each with its location, that are collected and reported together. */
 
-/** One problem in an input. */
+/** A problem in an input. */
 export interface Finding {
-  /** Where it is: a path in the manifest, a flag or an environment variable. */
+  /** Location: a path in the manifest, a flag or an environment variable. */
   readonly place: string;
-  /** Line in the source file, from 1, where the input came from a file. */
+  /** Line in the source file, counted from 1; only if the input came from a file. */
   readonly line?: number;
-  /** Column in the source file, from 1. */
+  /** Column in the source file, counted from 1. */
   readonly column?: number;
   readonly message: string;
 }
@@ -26,7 +26,7 @@
   }
 }
 
-/** Formats one finding as a line for people, `line:column place: message`. */
+/** Formats a finding as a line of text, `line:column place: message`. */
 export function formatFinding(finding: Finding): string {
   const at = finding.line === undefined ? '' : `${finding.line}:${finding.column ?? 1} `;
   return `${at}${finding.place}: ${finding.message}`;
--- a/src/protocol/ProtocolLimits.ts
+++ b/src/protocol/ProtocolLimits.ts
@@ -1,18 +1,18 @@
-/** What processes tell each other of limits that endpoints have named. */
+/** Messages between processes about rate limits that endpoints advertise. */
 
-/** The limit that one life of an endpoint has named last. */
+/** The last limit advertised by one incarnation of an endpoint. */
 export interface LimitRecord {
   /** The endpoint, `id@incarnation`. */
   readonly life: string;
-  /** Logical clock (Lamport, 1978) of that endpoint's limits: a greater one was named later. */
+  /** Logical clock (Lamport, 1978) of this endpoint's limits: a greater value was advertised later. */
   readonly clock: number;
-  /** Requests a second from all entry hosts together; null once no limit is named any more. */
+  /** Requests per second from all entry hosts together; null once the endpoint no longer advertises a limit. */
   readonly perSecond: number | null;
-  /** Time since it was named, ms: clocks of two hosts don't agree. */
+  /** Time since it was advertised, ms; an age, since the clocks of two hosts differ. */
   readonly ageMs: number;
 }
 
-/** News of limits, or a whole set; `hash` stands for all that the sender holds. */
+/** Changed limits or a complete set; `hash` is the hash of all records that the sender holds. */
 export interface LimitUpdate {
   readonly records: readonly LimitRecord[];
   readonly hash: number;
--- a/src/protocol/ProtocolManifest.ts
+++ b/src/protocol/ProtocolManifest.ts
@@ -1,4 +1,4 @@
-/** The manifest: what operators declare, whole, and submit through their pipeline. */
+/** The manifest: the complete configuration that operators declare and submit through their pipeline. */
 import * as z from 'zod';
 
 const name = z
@@ -54,7 +54,7 @@
 
 const zone = z.strictObject({ name, region: name }).readonly();
 
-/** Reports names that stand twice in a list, at the place of the second. */
+/** Reports duplicate names in a list, at the path of the second occurrence. */
 function checkUnique(
   items: readonly { readonly name: string }[],
   path: string,
@@ -73,7 +73,7 @@
   });
 }
 
-/** Validator of the whole manifest. The committed JSON Schema is generated from it. */
+/** Schema of the whole manifest. The committed JSON Schema is generated from it. */
 export const manifestSchema = z
   .strictObject({
     fleet: name,
@@ -126,7 +126,7 @@
     });
   });
 
-/** A checked manifest. */
+/** A validated manifest. */
 export type Manifest = z.infer<typeof manifestSchema>;
 
 /** A service of a manifest. */
--- a/src/protocol/ProtocolManifestText.ts
+++ b/src/protocol/ProtocolManifestText.ts
@@ -1,4 +1,4 @@
-/** Reads a manifest from YAML or JSON text; every finding has its line and column. */
+/** Parses a manifest from YAML or JSON text; every finding has a line and a column. */
 import { LineCounter, parseDocument } from 'yaml';
 import { FindingsError, type Finding } from './ProtocolFindings.js';
 import { manifestSchema, type Manifest } from './ProtocolManifest.js';
@@ -14,7 +14,7 @@
   readonly range?: readonly [number, number, number] | null;
 }
 
-/** Place of the deepest node that the path reaches: a missing key is reported at its parent. */
+/** Position of the deepest existing node on a path, so that a missing key is reported at its parent. */
 function findPosition(
   doc: YamlDocument,
   lines: LineCounter,
@@ -38,7 +38,10 @@
   );
 }
 
-/** Reads JSON that holds, which takes a fraction of the time; all else is YAML's, with places. */
+/**
+ * Parses a valid manifest in JSON, in a fraction of the YAML parser's time. Returns undefined for any other input: the
+ * YAML parser then finds the positions of its problems.
+ */
 function parseValidJson(text: string): Manifest | undefined {
   if (!text.trimStart().startsWith('{')) {
     return undefined;
@@ -51,7 +54,7 @@
 }
 
 /**
- * Parses and checks a manifest.
+ * Parses and validates a manifest.
  *
  * @throws {FindingsError} with all findings, each with line and column.
  */
@@ -81,8 +84,8 @@
 }
 
 /**
- * Parses and checks a manifest as {@link parseManifest} does, sooner where it is JSON that holds;
- * only a key that stands twice in such JSON isn't found.
+ * Parses and validates a manifest like {@link parseManifest}, but faster if it is valid JSON. A duplicate key in such
+ * JSON is not reported.
  *
  * @throws {FindingsError} with all findings, each with line and column.
  */
--- a/src/protocol/ProtocolMessages.ts
+++ b/src/protocol/ProtocolMessages.ts
@@ -1,52 +1,52 @@
-/** Messages between the system's own processes. Each carries the sender's incarnation. */
+/** Messages between the system's own processes. */
 import type { Manifest } from './ProtocolManifest.js';
 
-/** What a process does. */
+/** Role of a process. */
 export type Role = 'entry' | 'endpoint' | 'control';
 
-/** Load of an engine, as its gate last saw it. */
+/** Load of an engine, as last seen by its gate. */
 export interface LoadReport {
-  /** Attempts that run now. */
+  /** Number of running attempts. */
   readonly running: number;
-  /** Attempts that wait inside the engine. */
+  /** Number of attempts queued inside the engine. */
   readonly queued: number;
-  /** Attempts that the engine runs side by side. */
+  /** Maximum number of attempts that the engine runs concurrently. */
   readonly slots: number;
 }
 
-/** What an endpoint offers. */
+/** Service and capacity that an endpoint offers. */
 export interface EndpointOffer {
   readonly fleet: string;
   readonly service: string;
   readonly slots: number;
-  /** Group and ranks that this endpoint's host holds, if it is part of a group. */
+  /** Group that this endpoint belongs to, and the ranks on its host; absent if it is in no group. */
   readonly group?: string;
   readonly ranks?: readonly number[];
 }
 
-/** Life of a member: `gone` is said by others once its lease has run out. */
+/** Status of a member; others set `gone` once its lease has expired. */
 export type MemberStatus = 'serving' | 'leaving' | 'gone';
 
-/** One process in the directory. (incarnation, version) orders the records of one id. */
+/** A process in the directory. Records of one id are ordered by (incarnation, version). */
 export interface MemberRecord {
   readonly id: string;
   readonly role: Role;
   readonly zone: string;
   /** `ip:port` of its HTTP server. */
   readonly address: string;
-  /** Rises with each start of the process; ids of requests are unique only within it. */
+  /** Increases with each start of the process; request ids are unique only within an incarnation. */
   readonly incarnation: number;
-  /** Rises with each change that the member itself announces. */
+  /** Increases with each change that the member itself announces. */
   readonly version: number;
   readonly status: MemberStatus;
-  /** Whether its host has said that the process has ended; one that is merely not heard may live on. */
+  /** Whether its host reported that the process has ended; one that is only unreachable may still run. */
   readonly ended?: true;
   readonly offer?: EndpointOffer;
   /** Lease of a member without a link, which announces itself by heartbeats, ms. */
   readonly leaseMs?: number;
 }
 
-/** Where a control process takes links. */
+/** Address at which a control process accepts links. */
 export interface ControlAddress {
   readonly name: string;
   readonly zone: string;
@@ -56,20 +56,20 @@
 /** First message on a link from an entry or endpoint process to a control process. */
 export interface HelloMessage {
   readonly record: MemberRecord;
-  /** Index of the configuration the sender holds, 0 for none; null where it doesn't follow the configuration. */
+  /** Index of the configuration that the sender holds, 0 for none; null if it doesn't follow the configuration. */
   readonly configIndex: number | null;
 }
 
 /** Answer to {@link HelloMessage}. */
 export interface HelloReply {
   readonly accepted: boolean;
-  /** Smallest incarnation that would be accepted, where this one was too old. */
+  /** Smallest incarnation that would be accepted, if the sender's was too old. */
   readonly leastIncarnation: number;
-  /** Control processes that this one knows, itself included. */
+  /** Control processes known to the sender, including itself. */
   readonly controls?: readonly ControlAddress[];
 }
 
-/** Changes of the directory. `full` replaces all that the receiver knew. */
+/** Changes of the directory; with `full`, the records replace all that the receiver has. */
 export interface DirectoryDelta {
   readonly full: boolean;
   readonly records: readonly MemberRecord[];
@@ -82,7 +82,7 @@
 /** Configuration as flat entries by path, `fleet/kind/name`. */
 export type ConfigEntries = Readonly<Record<string, Json>>;
 
-/** Difference of two configurations by log index; `from` 0 is a snapshot of the whole. */
+/** Difference between the configurations at two log indexes; with `from` 0 a complete snapshot. */
 export interface ConfigDelta {
   readonly from: number;
   readonly to: number;
@@ -94,9 +94,9 @@
 export interface LeaseGrant {
   readonly group: string;
   readonly holder: string;
-  /** Rises with every new holder; a receiver refuses what is older than the highest seen. */
+  /** Fencing token, which increases with every grant; receivers refuse tokens below the highest one seen. */
   readonly token: number;
-  /** Duration in ms from the holder's request, by the holder's own clock. */
+  /** Duration from the holder's request, measured by the holder's own clock, ms. */
   readonly durationMs: number;
 }
 
@@ -105,7 +105,7 @@
   readonly manifest: Manifest;
 }
 
-/** What became of a submission. Accepted means committed by a quorum. */
+/** Result of a submission. Accepted means committed by a quorum. */
 export type SubmitReply =
   | {
       readonly result: 'accepted';
@@ -118,13 +118,13 @@
       readonly result: 'conflict' | 'older';
       readonly fleet: string;
       readonly version: number;
-      /** Digest accepted under that version, or under the newest for `older`. */
+      /** Digest accepted for that version; for `older`, the digest of the newest version. */
       readonly acceptedDigest: string;
       readonly acceptedVersion: number;
     }
   | { readonly result: 'unavailable'; readonly reason: string };
 
-/** Head frame of a gate's answer. */
+/** First frame of a gate's answer, with status and content type. */
 export interface HeadFrame {
   readonly kind: 'head';
   readonly request: string;
@@ -136,19 +136,19 @@
   readonly streamed: boolean;
 }
 
-/** Data frame: whole events of a stream, or a part of a whole answer. */
+/** Data frame: complete events of a stream, or a part of an answer that isn't streamed. */
 export interface DataFrame {
   readonly kind: 'data';
   readonly request: string;
   readonly attempt: number;
   readonly incarnation: number;
-  /** Events sent before this frame, plus one: the offset at which a resume would join. */
+  /** Number of events sent before this frame plus one: the offset at which a stream would be resumed. */
   readonly seq: number;
   readonly events: number;
   readonly bytes: Uint8Array;
 }
 
-/** Last frame. An answer without it, or with `whole` false, is cut. */
+/** Last frame. An answer without this frame, or with `whole` false, is incomplete. */
 export interface EndFrame {
   readonly kind: 'end';
   readonly request: string;
@@ -157,7 +157,7 @@
   readonly seq: number;
   readonly whole: boolean;
   readonly reason: string;
-  /** Which life of the engine, counted by the gate, has ended under the attempt; null where none is known to have. */
+  /** Ordinal, counted by the gate, of the engine incarnation that crashed during the attempt; null if none is known. */
   readonly endedLife: number | null;
   readonly load: LoadReport;
 }
@@ -165,9 +165,9 @@
 /** A message of a gate's answer. */
 export type AnswerFrame = HeadFrame | DataFrame | EndFrame;
 
-/** What a gate knows of an attempt it was asked to revoke. */
+/** A gate's reply to the revocation of an attempt. */
 export interface RevokeReply {
-  /** `revoked`: it has not been started and never will be. */
+  /** `revoked`: the attempt hasn't been started and never will be. */
   readonly state: 'revoked' | 'started';
   readonly incarnation: number;
 }
--- a/src/protocol/ProtocolQuarantine.ts
+++ b/src/protocol/ProtocolQuarantine.ts
@@ -1,20 +1,20 @@
-/** What processes tell each other of requests that endpoints have ended under. */
+/** Messages between processes about requests that endpoints crashed on. */
 
-/** A request, and the lives of endpoints that ended while they ran it. */
+/** A request and the endpoint incarnations that crashed while they ran it. */
 export interface SuspectRecord {
-  /** Digest of the request, by which it is known when it comes again. */
+  /** Digest of the request, by which a repetition is recognized. */
   readonly digest: string;
-  /** Customer whose request it is; empty for a route that needs no key. */
+  /** Customer who sent the request; empty for a route that needs no key. */
   readonly customer: string;
-  /** Lives that ended while they ran it, sorted. */
+  /** Keys of the incarnations that crashed while they ran it, sorted. */
   readonly ends: readonly string[];
-  /** Those of them that are no longer held against it, sorted. */
+  /** Those of `ends` that no longer count against the request, sorted. */
   readonly cleared: readonly string[];
-  /** Time since the last of them ended, ms: clocks of two hosts don't agree. */
+  /** Time since the last crash, ms; an age, since the clocks of two hosts differ. */
   readonly ageMs: number;
 }
 
-/** News of suspects, or a whole set; `hash` stands for all that the sender holds. */
+/** Changed suspects or a complete set; `hash` is the hash of all records that the sender holds. */
 export interface QuarantineUpdate {
   readonly records: readonly SuspectRecord[];
   readonly hash: number;
--- a/src/protocol/ProtocolRequestDigest.ts
+++ b/src/protocol/ProtocolRequestDigest.ts
@@ -1,23 +1,23 @@
-/** What makes two requests the same. */
+/** Identity of requests: which parts make two requests the same. */
 import { createHash } from 'node:crypto';
 
-/** A request without what is new each time it is sent: its id, deadline, connection and place to resume. */
+/** A request without the parts that change each time it is sent: id, deadline, connection and resume position. */
 export interface RequestIdentity {
-  /** Customer's name; empty where the route needs no key. */
+  /** Customer's name; empty if the route needs no key. */
   readonly customer: string;
   readonly method: string;
   readonly host: string;
-  /** Path with its query. */
+  /** Path with query string. */
   readonly path: string;
   readonly body: Buffer;
 }
 
-/** Hexadecimal digits of a digest: 128 bits, which nobody can find a second request for. */
+/** Hexadecimal digits of a digest: 128 bits, too many to find another request with the same digest. */
 const DIGEST_DIGITS = 32;
 
 /**
- * Digest of a request. The customer is a part of it, so that what one customer sends never stands for
- * another's. Each part is preceded by its length: parts that are cut elsewhere make another request.
+ * Digest of a request. It covers the customer, so that requests of two customers never have the same digest. Each part
+ * is preceded by its length, so that the same bytes split into other parts give another digest.
  */
 export function digestRequest(identity: RequestIdentity): string {
   const { customer, method, host, path, body } = identity;
@@ -28,7 +28,7 @@
   return hash.update(body).digest('hex').slice(0, DIGEST_DIGITS);
 }
 
-/** Whether two requests are the same, without a digest of either. */
+/** Compares two requests without computing digests. */
 export function isSameRequest(a: RequestIdentity, b: RequestIdentity): boolean {
   return (
     a.customer === b.customer &&
--- a/src/protocol/ProtocolRequestError.ts
+++ b/src/protocol/ProtocolRequestError.ts
@@ -1,17 +1,17 @@
-/** The one error that callers see, with a stable code and whether the call was run. */
+/** The error that callers receive, with a stable code and whether the request was run. */
 
-/** Whether the failed call was run: `unknown` says that nobody can tell. */
+/** Whether the failed request was run; `unknown` if that can't be determined. */
 export type Outcome = 'not_run' | 'unknown' | 'failed';
 
 interface CodeSpec {
   readonly status: number;
   readonly type: string;
   readonly outcome: Outcome;
-  /** Seconds after which a new try makes sense; absent where none does. */
+  /** Seconds after which the caller should retry; absent if a retry is pointless. */
   readonly retryAfterSeconds?: number;
 }
 
-/** Every code that a caller can meet. Codes are stable: they are never renamed or reused. */
+/** All codes that callers can receive. Codes are stable: they are never renamed or reused. */
 export const ERROR_CODES = {
   bad_request: { status: 400, type: 'invalid_request', outcome: 'not_run' },
   unknown_customer: { status: 403, type: 'invalid_request', outcome: 'not_run' },
@@ -36,7 +36,7 @@
 /** A stable error code. */
 export type ErrorCode = keyof typeof ERROR_CODES;
 
-/** Body of an error answer. */
+/** Body of an error response. */
 export interface ErrorBody {
   readonly error: {
     readonly type: string;
@@ -48,12 +48,12 @@
   };
 }
 
-/** Tells whether a string is one of {@link ERROR_CODES}. */
+/** Whether a string is one of {@link ERROR_CODES}. */
 export function isErrorCode(code: string): code is ErrorCode {
   return Object.hasOwn(ERROR_CODES, code);
 }
 
-/** A request that ends in an error; `outcome` may be overridden where the code alone can't tell. */
+/** A request that failed. `outcome` overrides the outcome of the code. */
 export class RequestError extends Error {
   readonly #code: ErrorCode;
 
@@ -79,13 +79,13 @@
     return ERROR_CODES[this.#code].status;
   }
 
-  /** Seconds until a new try makes sense, if one does. */
+  /** Seconds after which the caller should retry, if a retry makes sense. */
   get retryAfterSeconds(): number | undefined {
     const spec: CodeSpec = ERROR_CODES[this.#code];
     return spec.retryAfterSeconds;
   }
 
-  /** The JSON that a caller receives. */
+  /** JSON body for the caller. */
   toBody(requestId?: string): ErrorBody {
     const retryAfter = this.retryAfterSeconds;
     return {
--- a/src/protocol/ProtocolRoutes.ts
+++ b/src/protocol/ProtocolRoutes.ts
@@ -1,97 +1,97 @@
 /**
- * Routing of plain HTTP paths to services, as an operator's document declares it, and what an engine
- * tells of itself. The adapter of a platform decodes its own documents into these types.
+ * Routing of HTTP paths to services, as declared in an operator's document, and the reports of engines. The adapter of
+ * a platform decodes its own documents into these types.
  */
 
-/** What may be repeated on a route: `once` requests run at most once. */
+/** Kind of the requests of a route: `idempotent` ones may be repeated, `once` requests run at most once. */
 export type RouteKind = 'idempotent' | 'once' | 'stream';
 
-/** One service of a route, with its part of the requests. */
+/** A service of a route, with the weight of its share of the requests. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host under one path prefix. */
+/** Settings of the requests of one host under one path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a broken stream may go on at another endpoint. */
+  /** Whether a broken stream may be resumed at another endpoint. */
   readonly resumable: boolean;
-  /** Longest time a caller is kept waiting, ms. */
+  /** Longest time that a caller waits, ms. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that the operator aims at, ms. */
+  /** Target time to the answer, or to the first event of a stream, ms. */
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that is still on time, ms; null for no aim. */
+  /** Longest pause between two events of a stream that still counts as on time, ms; null for no target. */
   readonly pauseMs: number | null;
-  /** Callers of a stream leave when no event has come for this long, also before the first, ms. */
+  /** Callers of a stream disconnect after this time without an event, also before the first one, ms. */
   readonly patienceMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Endpoints that one request may be sent to, at most. */
+  /** Maximum number of endpoints that one request is sent to. */
   readonly maxAttempts: number;
   /** Whether requests need no key. */
   readonly anonymous: boolean;
 }
 
-/** How long an engine's passes take, and the shape of its expert maps. */
+/** Cost model of an engine's passes, and the shape of its expert maps. */
 export interface EngineCosts {
-  /** Requests that write at once. */
+  /** Requests that generate tokens concurrently. */
   readonly slots: number;
-  /** Token steps of one pass while requests write. */
+  /** Token steps per pass while requests generate tokens. */
   readonly stepsPerPass: number;
-  /** ms of a token step without writers. */
+  /** Duration of a token step without generating requests, ms. */
   readonly stepMs: number;
-  /** ms that each writer adds to a step. */
+  /** Time that each generating request adds to a step, ms. */
   readonly writerMs: number;
-  /** ms that 1,000 tokens of context add to a step. */
+  /** Time that 1,000 tokens of context add to a step, ms. */
   readonly contextMsPerK: number;
-  /** Prompt tokens read in a ms. */
+  /** Prompt tokens processed per ms. */
   readonly readTokensPerMs: number;
-  /** Part of a token's work that is done by experts, 0 to 1. */
+  /** Fraction of a token's work that is done by experts, 0 to 1. */
   readonly expertShare: number;
-  /** Sets of layers that share one expert map. */
+  /** Number of sets; the layers of a set share one expert map. */
   readonly sets: number;
-  /** Experts of a set. */
+  /** Number of experts per set. */
   readonly experts: number;
-  /** Experts that a rank holds, a set. */
+  /** Experts that a rank holds per set. */
   readonly slotsPerRank: number;
-  /** Experts new to a rank that one change of map may bring, a set. */
+  /** Maximum number of experts that one map change may add to a rank, per set. */
   readonly mostNew: number;
-  /** Time that a rank takes to copy one expert, ms. */
+  /** Time in which a rank copies one expert, ms. */
   readonly copyMs: number;
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean number of tokens of a prompt and of an answer. */
   readonly usualPrompt: number;
   readonly usualAnswer: number;
 }
 
-/** A service that routes lead to. */
+/** A service that is the target of routes. */
 export interface ServiceSpec {
   readonly name: string;
-  /** Connections that one endpoint takes from all callers together. */
+  /** Connections that one endpoint accepts from all callers together. */
   readonly maxConnections: number;
-  /** Costs of a model engine; null for a plain service. */
+  /** Cost model of a model engine; null for a plain service. */
   readonly engine: EngineCosts | null;
 }
 
-/** A customer with the keys that name it. */
+/** A customer with the keys that identify it. */
 export interface KeyedCustomer {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's priority; null for none. */
+  /** Overrides the route's priority; null for none. */
   readonly priority: number | null;
 }
 
-/** Limits on what a caller may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
-  /** How long an idle connection is kept, ms. */
+  /** How long an idle connection is kept open, ms. */
   readonly idleTimeoutMs: number;
 }
 
@@ -100,36 +100,36 @@
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceSpec[];
-  /** Empty where no request needs a key. */
+  /** Empty if no request needs a key. */
   readonly customers: readonly KeyedCustomer[];
   readonly limits: CallerLimits;
 }
 
-/** What a rank's process reads from its engine. */
+/** State of an engine, as read by its rank's process. */
 export interface RankReport {
-  /** Name of the group; null for an engine that is in none. */
+  /** Name of the group; null for an engine in no group. */
   readonly group: string | null;
-  /** Rises each time the group forms anew; all maps and orders are forgotten then. */
+  /** Increases each time the group forms anew, which discards all maps and orders. */
   readonly epoch: number;
   readonly rank: number;
   readonly ranks: number;
   readonly open: boolean;
-  /** Last pass that was begun. */
+  /** Last pass that was started. */
   readonly step: number;
   /** Version of the map in use. */
   readonly mapVersion: number;
-  /** Version whose weights are in place, ready to be armed; null for none. */
+  /** Version whose weights are loaded and that can be armed; null for none. */
   readonly prepared: number | null;
-  /** Version armed, and the pass from which it is used; null for none. */
+  /** Armed version and the pass from which it is used; null for none. */
   readonly armed: { readonly version: number; readonly step: number } | null;
   /** Whether weights are being copied for a version that isn't prepared yet. */
   readonly copying: boolean;
-  /** Pass before which the group waits for this rank's release; null for none. */
+  /** Pass before which the group waits until this rank is released; null for none. */
   readonly heldStep: number | null;
-  /** Requests that run, and that wait. */
+  /** Numbers of running and of waiting requests. */
   readonly active: number;
   readonly queued: number;
-  /** Time of a pass over what it should be; above 1 the engine is slow. */
+  /** Slowdown factor: actual over expected duration of a pass; above 1 the engine is slow. */
   readonly pace: number;
 }
 
@@ -140,26 +140,26 @@
   readonly counts: readonly (readonly number[])[];
 }
 
-/** Load of a group, as its coordinator saw it a moment ago. */
+/** Load of a group, as last seen by its coordinator. */
 export interface GroupLoad {
   readonly group: string;
-  /** Whether all ranks take part; a broken group runs nothing. */
+  /** Whether all ranks take part; otherwise the group runs nothing. */
   readonly open: boolean;
-  /** Requests that run, and that wait, by rank. */
+  /** Numbers of running and of waiting requests by rank. */
   readonly active: readonly number[];
   readonly queued: readonly number[];
-  /** Ranks that work far more slowly than the others; processes of an earlier version don't tell. */
+  /** Ranks that are much slower than the others; not sent by processes of an earlier version. */
   readonly slow?: readonly number[];
-  /** Time of a pass lately, ms; null where the group was idle. */
+  /** Recent duration of a pass, ms; null if the group was idle. */
   readonly passMs: number | null;
-  /** Largest over mean rank load, averaged over sets. */
+  /** Maximum over mean rank load, averaged over sets. */
   readonly skew: number;
 }
 
-/** `map[set][rank]` lists the experts of a rank. */
+/** Experts of each rank, `map[set][rank]`. */
 export type GroupMap = readonly (readonly (readonly number[])[])[];
 
-/** Orders to a rank. A hold keeps the group from beginning a pass until it is released. */
+/** Orders to a rank. A `hold` keeps the group from starting a pass until the `release`. */
 export type EngineOrder =
   | {
       readonly kind: 'prepare';
@@ -177,5 +177,5 @@
   | { readonly kind: 'hold'; readonly epoch: number; readonly step: number }
   | { readonly kind: 'release'; readonly epoch: number; readonly step: number };
 
-/** What became of an order: `unknown` may have been carried out, or may be later. */
+/** Result of an order; with `unknown` it may have been carried out, or may be later. */
 export type OrderResult = 'accepted' | 'refused' | 'unknown';
--- a/src/protocol/__tests__/unit/ProtocolManifest.test.ts
+++ b/src/protocol/__tests__/unit/ProtocolManifest.test.ts
@@ -41,7 +41,7 @@
     matchSnapshot('findings', findingsOf(text));
   });
 
-  it('reports what only the whole manifest shows', () => {
+  it('reports problems that concern several parts of the manifest', () => {
     const text = [
       'fleet: stockdesk',
       'version: 1',
@@ -58,7 +58,7 @@
     matchSnapshot('cross findings', findingsOf(text));
   });
 
-  it('reads JSON as it reads YAML, findings with their place included', () => {
+  it('reads JSON like YAML, with findings at the same positions', () => {
     const manifest = {
       fleet: 'f',
       version: 1,
@@ -71,7 +71,7 @@
     matchSnapshot('json findings', findingsOf(json.replace('"/s"', '"s"')));
   });
 
-  it('reports broken YAML at its place', () => {
+  it('reports a YAML syntax error with its position', () => {
     matchSnapshot('syntax', findingsOf('fleet: [a\nversion: 1'));
   });
 });
--- a/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
+++ b/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
@@ -16,11 +16,11 @@
   host: { ...REQUEST, host: 'other.example' },
   query: { ...REQUEST, path: '/ask/x?y=2' },
   body: { ...REQUEST, body: Buffer.from('bodies') },
-  'parts cut elsewhere': { ...REQUEST, path: '/ask/x?y=', body: Buffer.from('1body') },
+  'split of the same bytes': { ...REQUEST, path: '/ask/x?y=', body: Buffer.from('1body') },
 };
 
-describe('the digest of a request', () => {
-  it('is the same for the same request, however the host is written', () => {
+describe('digestRequest and isSameRequest', () => {
+  it('ignores the case of the host', () => {
     const again = { ...REQUEST, host: 'Desk.Example', body: Buffer.from('body') };
     assert.equal(digestRequest(again), digestRequest(REQUEST));
     assert.ok(isSameRequest(again, REQUEST));
--- a/src/protocol/index.ts
+++ b/src/protocol/index.ts
@@ -1,4 +1,4 @@
-/** Layer `protocol`: message types, validators and errors. Stands on nothing. */
+/** Layer `protocol`: message types, validators and errors. It imports no other layer. */
 export type {
   AnswerHead,
   DocumentDialect,
