--- a/src/state/StateConfig.ts
+++ b/src/state/StateConfig.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration as flat entries, so that a change travels as a small delta: a manifest of 7,300
- * customers is several hundred KB, a change of one customer's limit about a hundred bytes.
+ * Configuration as flat entries, so that a change is sent as a small delta: a manifest of 7,300
+ * customers has several hundred KB, a change of one customer's limit about a hundred bytes.
  */
 import { createHash } from 'node:crypto';
 import type {
@@ -12,16 +12,16 @@
   Service,
 } from '../protocol/index.js';
 
-/** A configuration and the log index that it stands for. */
+/** A configuration and the index of the log entry that produced it. */
 export interface ConfigState {
   readonly index: number;
   readonly entries: ConfigEntries;
 }
 
-/** No configuration yet. */
+/** State before the first configuration. */
 export const EMPTY_CONFIG: ConfigState = { index: 0, entries: {} };
 
-/** JSON with sorted keys, so that equal values have equal text. */
+/** Serializes a value as JSON with sorted keys, so that equal values have equal text. */
 export function canonicalJson(value: unknown): string {
   if (Array.isArray(value)) {
     return `[${value.map(canonicalJson).join(',')}]`;
@@ -36,7 +36,7 @@
   return JSON.stringify(value);
 }
 
-/** Digest of a manifest's content; key order and white space don't count. */
+/** Digest of a manifest's content, independent of key order and white space. */
 export function digestManifest(manifest: Manifest): string {
   return createHash('sha256').update(canonicalJson(manifest)).digest('hex');
 }
@@ -55,7 +55,7 @@
   ]);
 }
 
-/** What leads from one set of entries to another. */
+/** Changes that turn one set of entries into another. */
 export function diffEntries(
   from: ConfigEntries,
   to: ConfigEntries,
@@ -74,7 +74,7 @@
   return Object.fromEntries(Object.entries(entries).filter(([key]) => !removedKeys.has(key)));
 }
 
-/** Entries after a delta. */
+/** Applies a delta to entries. */
 export function patchEntries(
   entries: ConfigEntries,
   delta: Pick<ConfigDelta, 'set' | 'del'>,
@@ -90,15 +90,14 @@
   return Object.fromEntries(Object.entries(entries).filter(([key]) => key.startsWith(prefix)));
 }
 
-/** What became of a delta: `gap` asks for everything since the index held. */
+/** Result of a delta: with `gap`, all changes since the held index have to be requested. */
 export type DeltaResult = 'applied' | 'old' | 'gap';
 
 /**
- * Applies a delta in order of log index.
+ * Applies a delta in order of log index, so that the index only increases.
  *
- * Failure: a relay that was frozen wakes and sends an old delta, or a reordered one. Symptom: a
- * process goes back to an older configuration. Enough: a delta that does not lead past the index
- * held is dropped, and one that starts beyond it is never applied, so the index only rises.
+ * A relay that was frozen may send old or reordered deltas, which would bring back an older configuration. A delta
+ * that doesn't end after the held index is dropped, and one that starts after it is not applied.
  */
 export function applyConfigDelta(
   state: ConfigState,
@@ -114,7 +113,7 @@
     return { state, result: 'gap' };
   }
   if (delta.from < state.index) {
-    // Covers changes already held and newer ones; a partial overlay could undo one of the former.
+    // The delta has changes that are already applied as well as newer ones; applying it could undo one of the former.
     return { state, result: 'gap' };
   }
   return {
@@ -123,13 +122,13 @@
   };
 }
 
-/** A service with the fleet it belongs to. */
+/** A service with its fleet. */
 export interface FleetService {
   readonly fleet: string;
   readonly service: Service;
 }
 
-/** Lookup tables that a request needs, derived once a configuration. */
+/** Lookup tables for requests, derived once per configuration. */
 export interface ConfigView {
   readonly index: number;
   readonly byModel: ReadonlyMap<string, FleetService>;
--- a/src/state/StateControl.ts
+++ b/src/state/StateControl.ts
@@ -1,39 +1,39 @@
 /**
- * The replicated state of the control processes. `applyCommand` is the single place where it
- * changes; every replica applies the same commands in the same order.
+ * The replicated state of the control processes. It changes only in `applyCommand`; every replica
+ * applies the same commands in the same order.
  */
 import type { ConfigDelta, ConfigEntries, LeaseGrant, SubmitReply } from '../protocol/index.js';
 import { EMPTY_CONFIG, patchEntries, type ConfigState } from './StateConfig.js';
 
-/** Deltas kept for processes that missed some; a longer gap is closed by a snapshot. */
+/** Number of deltas kept for processes that missed some; a longer gap is closed by a snapshot. */
 export const DELTA_HISTORY = 512;
 
-/** What has been accepted for one fleet. */
+/** Accepted versions of one fleet. */
 export interface FleetState {
   readonly version: number;
   readonly digest: string;
-  /** What was accepted under each version, so that a resend gets its first answer. */
+  /** Digest and index of each accepted version, so that a resend gets the same answer as the first submission. */
   readonly accepted: AcceptedTable;
 }
 
-/** One accepted version. */
+/** An accepted version. */
 export interface AcceptedVersion {
   readonly digest: string;
   readonly index: number;
 }
 
 /**
- * Accepted versions in buckets of {@link ACCEPTED_BUCKET}, so that adding one copies a bucket and
- * not the history.
+ * Accepted versions in buckets of {@link ACCEPTED_BUCKET}, so that adding one copies one bucket
+ * instead of the whole history.
  */
 export type AcceptedTable = Readonly<Record<number, Readonly<Record<number, AcceptedVersion>>>>;
 
-/** Versions in one bucket. */
+/** Versions per bucket. */
 const ACCEPTED_BUCKET = 256;
 
 /**
- * Buckets kept: 262,144 versions, 32 days of 8,200 changes a day. A resend of an older one is
- * answered `older`, which is no acceptance, so nothing wrong is promised.
+ * Maximum number of buckets: 262,144 versions, which is 32 days of 8,200 changes a day. A resend of a version that was
+ * dropped is answered `older`, which doesn't claim that it was accepted.
  */
 const ACCEPTED_BUCKETS = 1_024;
 
@@ -52,11 +52,11 @@
   return kept.length < Object.keys(next).length ? Object.fromEntries(kept) : next;
 }
 
-/** A lease as the log knows it: who holds it, never until when, for clocks don't agree. */
+/** A lease as recorded in the log: its holder but no expiry time, since clocks differ between hosts. */
 export interface LeaseState {
   readonly holder: string;
   readonly token: number;
-  /** Renewals as the leader counts them; 0 in the log, see `LeaseKeeper`. */
+  /** Number of renewals counted by the leader; 0 in the log, see `LeaseRenewals`. */
   readonly renewals: number;
 }
 
@@ -67,25 +67,25 @@
   readonly deltas: readonly ConfigDelta[];
   readonly fleets: Readonly<Record<string, FleetState>>;
   readonly leases: Readonly<Record<string, LeaseState>>;
-  /** Last fencing token given, over all groups. */
+  /** Last fencing token that was issued, over all groups. */
   readonly lastToken: number;
 }
 
-/** A manifest's change, worked out by the leader against `base`. */
+/** Change of a manifest, computed by the leader against version `base`. */
 export interface SubmitCommand {
   readonly kind: 'submit';
   readonly fleet: string;
   readonly version: number;
   readonly digest: string;
-  /** Version of the fleet that the delta starts from; 0 for none. */
+  /** Version of the fleet that the delta is based on; 0 for none. */
   readonly base: number;
   readonly set: ConfigEntries;
   readonly del: readonly string[];
 }
 
 /**
- * A whole document under a version number, where the highest version counts: one that isn't higher
- * than what is held is accepted and changes nothing.
+ * Replaces the whole configuration by a document with a version number. A version that isn't higher
+ * than the current one is answered as accepted and changes nothing.
  */
 export interface ReplaceCommand {
   readonly kind: 'replace';
@@ -95,7 +95,7 @@
   readonly entries: ConfigEntries;
 }
 
-/** Grants a lease; `after` names the one that it follows, so that a race has one winner. */
+/** Grants a lease; `after` identifies the lease that it replaces, so that only one of several rival requests succeeds. */
 export interface LeaseCommand {
   readonly kind: 'lease';
   readonly group: string;
@@ -104,11 +104,11 @@
   readonly after: { readonly token: number };
 }
 
-/** A command of the log. `noop` is what a new leader commits first. */
+/** A command of the log. A new leader commits a `noop` first. */
 export type ControlCommand =
   SubmitCommand | ReplaceCommand | LeaseCommand | { readonly kind: 'noop' };
 
-/** Result of a command. `stale`: its base has changed, work it out anew. */
+/** Result of a command. With `stale`, its base has changed and the command has to be computed again. */
 export type CommandResult =
   | SubmitReply
   | { readonly result: 'granted'; readonly lease: LeaseGrant }
@@ -132,11 +132,11 @@
 }
 
 /**
- * Judges a submission against what was accepted, without changing anything.
+ * Checks a submission against the accepted versions, without changing the state.
  *
- * Operators race with equal version numbers and resend when an answer is lost. The same digest is
- * the same submission and gets the answer of the first; another digest is a conflict that names
- * what was accepted. The table is part of snapshots, so compaction and failover don't forget it.
+ * Operators may submit the same version number concurrently, and resend when an answer is lost. A submission with the
+ * accepted digest is a resend and gets the first answer; with another digest it is a conflict, and the reply contains
+ * what was accepted. The accepted versions are part of snapshots, so they survive compaction and failover.
  */
 export function checkSubmission(
   state: ControlState,
@@ -205,7 +205,7 @@
   };
 }
 
-/** Keeps no deltas: each change is a whole document, and only the newest is of use. */
+/** Keeps no deltas: each change is a whole document, and only the newest one is needed. */
 function applyReplace(state: ControlState, command: ReplaceCommand, index: number): Applied {
   const { fleet, version, digest, entries } = command;
   const known = state.fleets[fleet];
@@ -232,7 +232,7 @@
       ? { state, result: { result: 'stale' } }
       : { state, result: { result: 'held', lease: held } };
   }
-  // Also for the same holder: a process that restarted must not share a token with its past life.
+  // A new token also for the same holder: a restarted process must not share one with its previous incarnation.
   const token = state.lastToken + 1;
   const lease: LeaseState = { holder, token, renewals: 0 };
   return {
@@ -256,7 +256,7 @@
   noop: (state) => ({ state, result: { result: 'done' } }),
 };
 
-/** Applies one committed command; the only place where the replicated state changes. */
+/** Applies a committed command. The replicated state changes nowhere else. */
 export function applyCommand(state: ControlState, command: ControlCommand, index: number): Applied {
   const handler = HANDLERS[command.kind] as (
     state: ControlState,
@@ -268,8 +268,8 @@
 }
 
 /**
- * Deltas that lead from an index to the newest; one snapshot where they aren't kept, or don't end at
- * the configuration, as when that was learned from elsewhere.
+ * Deltas from an index to the current configuration. One snapshot if they are no longer kept, or if they
+ * don't end at the current configuration, because that was received from another source.
  */
 export function deltasSince(
   { config, deltas }: Pick<ControlState, 'config' | 'deltas'>,
@@ -285,7 +285,7 @@
     : [{ from: 0, to: config.index, set: config.entries, del: [] }];
 }
 
-/** One delta that does what two in a row do; null if the second doesn't begin where the first ends. */
+/** Merges two consecutive deltas into one; null if the second doesn't start where the first ends. */
 export function mergeDeltas(first: ConfigDelta, second: ConfigDelta): ConfigDelta | null {
   if (second.from === 0) {
     return second;
--- a/src/state/StateCorruptError.ts
+++ b/src/state/StateCorruptError.ts
@@ -1,4 +1,4 @@
-/** Thrown when a journal is damaged before its tail: the replica must rejoin with a new folder. */
+/** Thrown if a journal is corrupt before its last record: the replica must rejoin with a new data folder. */
 export class StateCorruptError extends Error {
   readonly #file: string;
 
--- a/src/state/StateDataFolder.ts
+++ b/src/state/StateDataFolder.ts
@@ -1,6 +1,6 @@
 /**
- * The data folder of a control process: its identity and one append-only journal. What is not
- * synced does not exist: callers hear of nothing before `append` has resolved.
+ * The data folder of a control process: its identity and one append-only journal. Callers must not
+ * act on records before `append` has resolved, since only then they are synced to disk.
  */
 import { randomUUID } from 'node:crypto';
 import { mkdir, open, readFile, rename, type FileHandle } from 'node:fs/promises';
@@ -15,12 +15,15 @@
 const JOURNAL = 'journal.bin';
 const IDENTITY = 'identity.json';
 
-/** Who this replica is. A lost folder makes a new identity, never an empty old one. */
+/**
+ * Identity of the replica. After the loss of its folder it gets a new one, so that an empty journal is never taken for
+ * that of the old replica.
+ */
 export interface Identity {
   readonly replica: string;
 }
 
-/** One frame for all records of an append, so that a torn write can't keep a later part of it. */
+/** Encodes all records of an append as one frame, so that a torn write loses all of them instead of only some. */
 function frame(records: readonly unknown[]): Buffer {
   const body = pack(records);
   const header = Buffer.alloc(HEADER_BYTES);
@@ -29,7 +32,7 @@
   return Buffer.concat([header, body]);
 }
 
-/** Reads the frame at an offset; undefined where there is no valid one. */
+/** Reads the frame at an offset; undefined if there is no valid one. */
 function frameAt(data: Buffer, offset: number): { body: Buffer; next: number } | undefined {
   if (offset + HEADER_BYTES > data.length) {
     return undefined;
@@ -59,7 +62,7 @@
   await syncDirectory(path.dirname(file));
 }
 
-/** Content of a file, empty if there is none. Any other error is the caller's. */
+/** Content of a file, empty if it doesn't exist. Rejects on any other error. */
 async function readIfExists(file: string): Promise<Buffer> {
   try {
     return await readFile(file);
@@ -82,11 +85,11 @@
 }
 
 /**
- * Splits a journal into records.
+ * Splits a journal into records; `end` is the offset behind the last valid one.
  *
- * Failure: the host lost power in the middle of a write. Symptom: the last record is incomplete;
- * it was never answered for, so it is cut. A bad record with a valid one behind it was once synced
- * and answered for: reading on would forget promises, so that is refused with file and offset.
+ * A host that loses power during a write leaves an incomplete last record. It was never acknowledged, so it is left
+ * out. A corrupt record before a valid one had been synced and acknowledged; continuing without it would lose votes and
+ * accepted changes, so this throws with file and offset.
  */
 function readRecords(file: string, data: Buffer): { records: unknown[]; end: number } {
   const records: unknown[] = [];
@@ -105,7 +108,7 @@
   return { records, end: offset };
 }
 
-/** One folder on a disk, owned by one process. */
+/** A folder on disk, owned by one process. */
 export class StateDataFolder {
   readonly #journal: string;
 
@@ -115,7 +118,7 @@
 
   #handle: FileHandle;
 
-  /** Bytes of the journal that were synced; a failed write may have left more behind them. */
+  /** Bytes of the journal that are synced; a failed write may have left more bytes after them. */
   #syncedSize: number;
 
   #isTorn = false;
@@ -135,9 +138,9 @@
   }
 
   /**
-   * Opens a folder, or makes it with a new identity.
+   * Opens a folder, or creates it with a new identity.
    *
-   * @throws {StateCorruptError} if the journal is damaged before its tail.
+   * @throws {StateCorruptError} if the journal is corrupt before its last record.
    */
   static async open(folder: string, name: string): Promise<StateDataFolder> {
     await mkdir(folder, { recursive: true });
@@ -158,18 +161,16 @@
     return this.#identity;
   }
 
-  /** Records found at the start, in the order written. */
+  /** Records found when the folder was opened, in the order written. */
   get recovered(): readonly unknown[] {
     return this.#recovered;
   }
 
   /**
-   * Appends records and syncs them: one write and one sync for all. After a failure the same records
-   * may be appended again.
+   * Appends records with one write and one sync. After a failure the same records may be appended again.
    *
-   * Failure: a full disk takes a part of a frame, and a later append stands behind it. Symptom: at the
-   * next start the journal ends at the torn frame, and what was answered for is lost. Enough: what a
-   * failed append may have left is cut off before the next one.
+   * On a full disk, a failed append may leave a part of a frame. Before the next append the journal is truncated to its
+   * synced size; otherwise reading would stop at the torn frame and acknowledged records behind it would be lost.
    */
   async append(records: readonly unknown[]): Promise<void> {
     if (this.#isTorn) {
@@ -184,7 +185,7 @@
     this.#syncedSize += data.length;
   }
 
-  /** Replaces the whole journal, atomically: after a crash either the old or the new is there. */
+  /** Replaces the whole journal atomically: after a crash either the old or the new one is complete. */
   async rewrite(records: readonly unknown[]): Promise<void> {
     const data = frame(records);
     await writeSynced(this.#journal, data);
--- a/src/state/StateDirectory.ts
+++ b/src/state/StateDirectory.ts
@@ -1,16 +1,16 @@
-/** The directory: which processes there are. Records merge by (incarnation, version). */
+/** The directory of processes. Its records are merged by (incarnation, version). */
 import type { MemberRecord } from '../protocol/index.js';
 
-/** All known members by id. Replaced whole at each change. */
+/** All known members by id. Each change creates a new map. */
 export type Directory = ReadonlyMap<string, MemberRecord>;
 
 const STATUS_ORDER = { serving: 0, leaving: 1, gone: 2 } as const;
 
 /**
- * Tells whether a record is newer than another of the same id.
+ * Whether a record is newer than another one of the same id.
  *
- * A member that others declared `gone` refutes it by announcing itself with a higher version;
- * within one version the later stage of life wins, so a late `serving` can't undo a `gone`.
+ * A member that others declared `gone` refutes that by announcing itself with a higher version. Within one version the
+ * later status wins, so that a delayed `serving` can't override a `gone`.
  */
 export function isNewerRecord(record: MemberRecord, known: MemberRecord | undefined): boolean {
   if (known === undefined) {
@@ -25,7 +25,7 @@
   return STATUS_ORDER[record.status] > STATUS_ORDER[known.status];
 }
 
-/** Merges records; `changed` holds those that were news. */
+/** Merges records; `changed` holds those that are newer than the known ones. */
 export function mergeRecords(
   directory: Directory,
   records: readonly MemberRecord[],
--- a/src/state/StateRoutes.ts
+++ b/src/state/StateRoutes.ts
@@ -1,7 +1,7 @@
-/** Lookup tables of a route plan, derived once a configuration. */
+/** Lookup tables of a route plan, derived once per configuration. */
 import type { KeyedCustomer, Route, RoutePlan, ServiceSpec } from '../protocol/index.js';
 
-/** Tables that a request needs. */
+/** Lookup tables for requests. */
 export interface RouteView {
   readonly plan: RoutePlan;
   /** Routes of a host, longest prefix first. */
@@ -10,7 +10,7 @@
   readonly services: ReadonlyMap<string, ServiceSpec>;
 }
 
-/** Derives the tables. */
+/** Derives the lookup tables. */
 export function viewRoutes(plan: RoutePlan): RouteView {
   const byHost = new Map<string, Route[]>();
   plan.routes.forEach((route) => {
@@ -27,19 +27,19 @@
   };
 }
 
-/** Host of a `Host` header: in lower case, without the port. */
+/** Host name of a `Host` header, in lower case and without the port. */
 function hostOf(header: string): string {
   return header.toLowerCase().replace(/:\d+$/, '');
 }
 
-/** The route of a request: of those of its host, the one with the longest prefix of its path. */
+/** Finds the route of a request: the route of its host with the longest matching path prefix. */
 export function findRoute(view: RouteView, host: string, path: string): Route | undefined {
   const query = path.indexOf('?');
   const plain = query < 0 ? path : path.slice(0, query);
   return view.byHost.get(hostOf(host))?.find(({ pathPrefix }) => plain.startsWith(pathPrefix));
 }
 
-/** Picks one of a route's services by weight; `random` is from 0 to 1. */
+/** Picks one of a route's services by weight; `random` is a number from 0 to 1. Empty if no service has any weight. */
 export function pickTarget(route: Route, random: number): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
   let left = random * total;
--- a/src/state/__tests__/unit/StateControl.test.ts
+++ b/src/state/__tests__/unit/StateControl.test.ts
@@ -30,9 +30,9 @@
 }
 
 describe('applyCommand', () => {
-  // Two pipelines submit version 2 with different content at the same moment. Whichever the log
-  // orders first is accepted; the other must hear what was, not that its own was.
-  it('lets one of two equal versions win and names it to the other', () => {
+  // Two pipelines submit version 2 with different content at the same time. The first one in the log
+  // is accepted; the other must get a conflict with the accepted digest, not an acceptance of its own.
+  it('accepts the first of two equal versions and reports it to the other', () => {
     const first = applyCommand(accept(1), submit(2, 'mine', 1), 2);
     const second = applyCommand(first.state, submit(2, 'yours', 1), 3);
     assert.deepEqual(second.result, {
@@ -46,8 +46,8 @@
   });
 
   // The answer to a submission is lost, hundreds of others are accepted, and the pipeline resends.
-  // It must hear that it was accepted, at its first index, not that it is too old.
-  it('gives a resend its first answer however much later', () => {
+  // It must be answered as accepted with its first index, not as too old.
+  it('gives a resend its first answer after many other versions', () => {
     const state = accept(400);
     const again = applyCommand(state, submit(7, 'd7', 6), 401);
     assert.deepEqual(again.result, {
@@ -60,16 +60,16 @@
     assert.equal(again.state.config.index, 400);
   });
 
-  // Two leaders' worth of work meet: a delta computed against version 1 is applied after version 2.
-  // Applied blindly it would undo what version 2 changed.
+  // Around a change of leader, a delta computed against version 1 may be applied after version 2.
+  // Applying it could undo what version 2 changed.
   it('refuses a delta whose base has changed', () => {
     const { result } = applyCommand(accept(2), submit(3, 'd3', 1), 3);
     assert.deepEqual(result, { result: 'stale' });
   });
 
-  // Two endpoint processes find the lease unrenewed and ask at once. Both named the lease that they
-  // saw; the second one's has changed since, so there is one holder, with a higher token.
-  it('grants a lease to one of two rivals', () => {
+  // Two endpoint processes see that a lease isn't renewed and request it at the same time. Both name the lease
+  // that they saw; for the second one it has changed since, so there is one holder, with a higher token.
+  it('grants a lease to one of two concurrent requests', () => {
     const leaseCommand = (holder: string) =>
       ({
         kind: 'lease',
@@ -89,7 +89,7 @@
 });
 
 describe('applyConfigDelta', () => {
-  it('reaches the same configuration by deltas as by a snapshot', () => {
+  it('yields the same configuration from deltas as from a snapshot', () => {
     const state = accept(20);
     const byDeltas = deltasSince(state, 5).reduce(
       (config, delta) => applyConfigDelta(config, delta).state,
@@ -100,8 +100,8 @@
     assert.deepEqual(bySnapshot, state.config);
   });
 
-  // A relay was frozen for hundreds of changes, wakes, and sends what it had in its buffers. The
-  // receiver must stay on the newer configuration, whether the old one comes as delta or snapshot.
+  // A relay that was frozen for hundreds of changes resumes and sends its buffered messages. The
+  // receiver must keep the newer configuration, whether the old one comes as delta or snapshot.
   it('never goes back to an older index', () => {
     const { config } = accept(300);
     const outdated = accept(40);
@@ -110,14 +110,14 @@
     });
   });
 
-  it('asks again after a gap instead of applying what follows it', () => {
+  it('reports a gap instead of applying the delta after it', () => {
     const current = accept(3).config;
     const [, , , , fifth] = accept(6).deltas;
     assert.ok(fifth);
     assert.deepEqual(applyConfigDelta(current, fifth), { state: current, result: 'gap' });
   });
 
-  it('makes two deltas in a row one that does the same', () => {
+  it('merges two consecutive deltas into one with the same effect', () => {
     const entry = (n: number): never => ({ n }) as never;
     const start = { index: 1, entries: { a: entry(1), b: entry(1), c: entry(1) } };
     const first = { from: 1, to: 2, set: { a: entry(2), d: entry(2) }, del: ['b'] };
--- a/src/state/__tests__/unit/StateDataFolder.test.ts
+++ b/src/state/__tests__/unit/StateDataFolder.test.ts
@@ -31,7 +31,7 @@
     return data.recovered;
   }
 
-  it('finds what was synced, under the same identity', async () => {
+  it('recovers synced records and its identity', async () => {
     await writeThree();
     const data = await StateDataFolder.open(folder, 'c1');
     const again = await StateDataFolder.open(folder, 'c1');
@@ -41,9 +41,9 @@
     await again.close();
   });
 
-  // The host loses power in the middle of its last write. Nobody was answered for that record, so
-  // the replica starts without it, and what it writes next follows the last whole record.
-  it('cuts a torn tail and goes on behind it', async () => {
+  // The host loses power during its last write. That record was never acknowledged, so the replica
+  // starts without it, and its next record follows the last complete one.
+  it('truncates a torn last record and appends after the one before', async () => {
     await writeThree();
     const bytes = await readFile(journal());
     await writeFile(journal(), bytes.subarray(0, bytes.length - 2));
@@ -54,9 +54,9 @@
     assert.deepEqual(await recover(), [{ n: 1 }, { n: 2 }, { n: 4 }]);
   });
 
-  // A sector in the middle goes bad. Records behind it were synced and answered for; starting
-  // without them would forget votes and acceptances, so the replica refuses to start at all.
-  it('refuses a corrupt middle with file and offset', async () => {
+  // A sector in the middle gets corrupted. The records after it were synced and acknowledged; starting
+  // without them would lose votes and accepted changes, so the replica refuses to start.
+  it('refuses a corrupt record before the last one, with file and offset', async () => {
     await writeThree();
     const bytes = await readFile(journal());
     const second = 8 + bytes.readUInt32LE(0);
@@ -68,7 +68,7 @@
     );
   });
 
-  it('has a new identity once the folder is lost', async () => {
+  it('creates a new identity after the folder is lost', async () => {
     const first = await StateDataFolder.open(folder, 'c1');
     await first.close();
     await rm(folder, { recursive: true });
@@ -77,7 +77,7 @@
     assert.notEqual(first.identity.replica, second.identity.replica);
   });
 
-  it('holds just the new records after a rewrite', async () => {
+  it('contains only the new records after a rewrite', async () => {
     await writeThree();
     const data = await StateDataFolder.open(folder, 'c1');
     await data.rewrite([{ n: 9 }]);
@@ -88,10 +88,10 @@
 });
 
 describe('StateDataFolder on a disk that refuses writes', () => {
-  // A disk is full for some seconds: the write of a record reaches the file, its sync fails, and the
-  // replica appends the same record again once it can. At the next start the record must be there once;
-  // twice, or with a torn frame in between, the log would be read wrongly or not at all.
-  it('keeps a record once that was appended again after a failure', async () => {
+  // While a disk is full, a record is written to the file but its sync fails, and the replica appends the
+  // same record again later. At the next start the record must be there once: with a duplicate or a torn
+  // frame in between, the log would be read wrongly or not at all.
+  it('keeps one copy of a record that was appended again after a failure', async () => {
     const folder = await mkdtemp(path.join(os.tmpdir(), 'lg-full-'));
     const data = await StateDataFolder.open(folder, 'c1');
     await data.append(['first']);
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -1,4 +1,4 @@
-/** Layer `state`: read-only values, each with its single place of change. */
+/** Layer `state`: read-only values, each changed by one function only. */
 export {
   applyConfigDelta,
   canonicalJson,
