--- a/src/transport/TransportAddress.ts
+++ b/src/transport/TransportAddress.ts
@@ -1,12 +1,12 @@
-/** Addresses, `ip:port`. */
+/** Network addresses, `ip:port`. */
 
-/** An address in parts. */
+/** A parsed address. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** Splits `ip:port`; undefined if it isn't one. IPv6 is written `[::1]:80`. */
+/** Parses `ip:port`, for IPv6 `[::1]:80`; undefined if the text isn't an address. */
 export function parseAddress(text: string): Address | undefined {
   const match =
     /^(?:\[(?<six>[0-9a-fA-F:.]+)\]|(?<four>\d{1,3}(?:\.\d{1,3}){3})):(?<port>\d{1,5})$/.exec(text);
--- a/src/transport/TransportCall.ts
+++ b/src/transport/TransportCall.ts
@@ -1,67 +1,67 @@
-/** One HTTP call to an endpoint, by undici, with what is needed to tell whether it was sent. */
+/** HTTP calls to endpoints with undici, which report whether any byte of a call was sent. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Socket } from 'node:net';
 import { Agent, buildConnector, Pool, type Dispatcher } from 'undici';
 import { resetSocket } from './TransportReset.js';
 
-/** A call as it goes out. */
+/** A call to send. */
 export interface OutgoingCall {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | null;
-  /** Whether it must not go on a connection that had calls before it, and none may go there after it. */
+  /** Whether the call needs a new connection that is used for no other call. */
   readonly usesOwnConnection?: boolean;
 }
 
-/** What happens to a call, in order; after `onEnd` or `onError` nothing follows. */
+/** Callbacks of a call, in order; `onEnd` or `onError` is the last one. */
 export interface CallListener {
-  /** Asked right before the first byte leaves; false keeps it from leaving. */
+  /** Called right before the first byte is sent; if it returns false, nothing is sent. */
   onStart: () => boolean;
   onHead: (status: number, headers: IncomingHttpHeaders, raw: readonly string[]) => void;
   onData: (chunk: Buffer) => void;
-  /** The answer is whole by its framing. */
+  /** The answer is complete according to its framing. */
   onEnd: () => void;
-  /** `sent` is false only where not a byte of the call has left. */
+  /** `sent` is false only if no byte of the call was sent. */
   onError: (err: Error, sent: boolean) => void;
 }
 
-/** A call under way. */
+/** A call in progress. */
 export interface RunningCall {
-  /** Ends it and its connection; nothing more is heard of it. */
+  /** Aborts the call and resets its connection; no callback follows. */
   abort: () => void;
 }
 
-/** How long a connection may take to be made, ms: some hundred round trips between AZs. */
+/** Limit on connecting, ms: about a hundred round trips between availability zones. */
 const CONNECT_TIMEOUT_MS = 700;
 
-/** An endpoint that doesn't say how long it keeps idle connections closes ours after this, ms. */
+/** How long idle connections are kept to an endpoint that doesn't state its own keep-alive time, ms. */
 const KEEP_ALIVE_MS = 4_000;
 
-/** A 304 names the length of the body that it doesn't have; the client library misses that body. */
+/** A 304 states the length of a body that it doesn't have, which the client library reports as a length mismatch. */
 const NOT_MODIFIED = 304;
 const LENGTH_MISMATCH = 'UND_ERR_RES_CONTENT_LENGTH_MISMATCH';
 
-/** Connections to one endpoint. */
+/** Connection pool of one endpoint. */
 export interface EndpointPool {
   readonly origin: string;
   readonly pool: Pool;
-  /** Whether one of its sockets is failing right now. */
+  /** Whether one of its sockets failed in the current turn of the event loop. */
   readonly isFailing: () => boolean;
-  /** Runs what gives a call up; the socket that it closes is reset. */
+  /** Runs a function that aborts a call; a socket that it closes is reset. */
   readonly abortWithReset: (abort: () => void) => void;
 }
 
 /**
- * Has a socket closed by a reset for as long as a switch says so.
+ * Makes `destroy` of a socket reset the connection while `isResetting` returns true.
  *
- * Failure: a caller leaves while its request is on the way to a host that stands still. Symptom: closed in order,
- * the connection still delivers what the kernel holds; the host wakes and works for nobody. Enough: a reset drops
- * what wasn't delivered, and ends at once what was.
+ * If a caller disconnects while its request is being sent to a frozen host, an orderly close would still deliver what
+ * the kernel has buffered, and the host would run the request for nobody once it resumes. A reset discards what wasn't
+ * delivered, and ends what was at once.
  *
- * A reset by Node forgets the error, without which the client library takes the end of the socket for the end of the
- * answer that was given up, and throws where nobody catches.
+ * Node's reset drops the error. Without it, the client library takes the end of the socket for the end of the aborted
+ * answer and throws an uncaught exception; therefore the error is passed on here.
  */
 function resetOnDestroyWhile(socket: Socket, isResetting: () => boolean): void {
   const destroy = socket.destroy.bind(socket);
@@ -72,26 +72,25 @@
     if (isReset || !isResetting()) {
       return destroy(err ?? cause);
     }
-    // It calls `destroy` in its turn, without the error.
+    // `resetSocket` calls `destroy` again, without the error.
     isReset = true;
     cause = err;
     return resetSocket(socket);
   };
 }
 
-/** Makes connections, and knows when one of them fails. */
+/** Opens connections and detects when one of them fails. */
 interface WatchedConnector {
   readonly connect: buildConnector.connector;
   readonly isFailing: () => boolean;
 }
 
 /**
- * Watches the connections that it makes.
+ * Opens connections and watches them for failures.
  *
- * Failure: an answer without a length ends with its connection, and that is reset half way. Symptom:
- * the client library takes the reset for the end, and a caller gets half an answer as whole. Enough:
- * the socket's error is seen before the library's own handler ends the answer in the same turn, so an
- * end that comes while a socket fails is known to be none.
+ * An answer without a length ends with its connection. If that is reset, the client library takes the reset for the
+ * end, and a caller would get a truncated answer as complete. The socket's error is seen here before the library's own
+ * handler ends the answer in the same turn of the event loop, so an end reported while a socket fails is an error.
  */
 function watchConnections(timeout: number, onSocket: (socket: Socket) => void): WatchedConnector {
   let failing = false;
@@ -105,8 +104,8 @@
   const watch = (socket: Socket): void => {
     onSocket(socket);
     socket.on('error', fail);
-    // The reset may have been reported to another call on the socket; what is read then is an end
-    // like any other, but a connection that was reset has no peer any more.
+    // The reset may have been reported to another call on the socket. Reading then yields an ordinary
+    // end, but a connection that was reset has no remote address any more.
     socket.on('end', () => {
       if (socket.remoteAddress === undefined) {
         fail();
@@ -127,7 +126,7 @@
 
 const RESET_MESSAGE = 'the connection was reset before the end of the answer';
 
-/** Connections to any origin, without time-outs of their own; an answer that is reset half way fails. */
+/** Opens an agent for any origin, without header and body timeouts; an answer cut off by a reset fails. */
 export function openAgent(connectMs: number): Dispatcher {
   const { connect, isFailing } = watchConnections(connectMs, () => undefined);
   const agent = new Agent({ headersTimeout: 0, bodyTimeout: 0, connect });
@@ -146,7 +145,7 @@
   );
 }
 
-/** Opens connections to one endpoint as calls need them. */
+/** Opens the connection pool of one endpoint; connections are opened when calls need them. */
 export function openPool(origin: string, connections: number): EndpointPool {
   let isAborting = false;
   const { connect, isFailing } = watchConnections(CONNECT_TIMEOUT_MS, (socket) =>
@@ -179,9 +178,10 @@
 }
 
 /**
- * Whether the body's end can be told.
+ * Whether the end of the body can be detected.
  *
- * The client library hands over the bytes of any coding but chunks as they are, up to the end of the connection.
+ * The client library decodes only `chunked`; with any other coding it passes on the raw bytes up to the end of the
+ * connection.
  */
 function isFramed({ 'transfer-encoding': coding }: IncomingHttpHeaders): boolean {
   return coding === undefined || coding.toLowerCase() === 'chunked';
@@ -256,7 +256,7 @@
     },
   });
   if (usesOwnConnection) {
-    // Waits for the call; that it is aborted is told to its listener.
+    // Closes the pool after the call; if that is aborted, its listener is notified.
     pool.close().catch(() => undefined);
   }
   return {
--- a/src/transport/TransportFrames.ts
+++ b/src/transport/TransportFrames.ts
@@ -1,12 +1,12 @@
-/** The answer of a gate to an entry process: frames by msgpackr in one HTTP body. */
+/** The answer of a gate to an entry process: msgpackr frames in one HTTP body. */
 import type { Readable, Writable } from 'node:stream';
 import { Packr, UnpackrStream } from 'msgpackr';
 import type { AnswerFrame } from '../protocol/index.js';
 
-/** Content type of a body of frames. */
+/** Content type of a body that consists of frames. */
 export const FRAMES_CONTENT_TYPE = 'application/x-laburnumgauge-frames';
 
-/** Writes frames. Records are coded by position, with their names sent once. */
+/** Writes frames. Fields are encoded by position; their names are sent once. */
 export class FrameWriter {
   readonly #packr = new Packr({ sequential: true });
 
@@ -16,7 +16,7 @@
     this.#out = out;
   }
 
-  /** Writes one frame; false once the buffer is full. */
+  /** Writes a frame; returns false once the buffer is full. */
   write(frame: AnswerFrame): boolean {
     return this.#out.write(this.#packr.pack(frame));
   }
@@ -32,7 +32,7 @@
 
 const NEWLINE = 0x0a;
 
-/** End of the last whole event in a buffer of server-sent events, and how many there are. */
+/** Offset behind the last complete event in a buffer of server-sent events, and the number of complete events. */
 export function scanWholeEvents(data: Buffer): { readonly end: number; readonly events: number } {
   let events = 0;
   let end = 0;
@@ -49,7 +49,7 @@
   return { end, events };
 }
 
-/** Comments keep a connection busy, and are no part of a stream. */
+/** Whether an event has only comments, which keep the connection alive and aren't part of the stream. */
 function isComment(event: Buffer): boolean {
   return event
     .toString('latin1')
@@ -57,7 +57,7 @@
     .every((line) => line === '' || line.startsWith(':'));
 }
 
-/** The last of some whole events that is no comment, with its id as `readId` finds it; null where all are comments. */
+/** Id, read by `readId`, of the last of some complete events that isn't a comment; null if all are comments. */
 export function findLastEvent(
   events: Buffer,
   readId: (event: Buffer) => string | null,
@@ -75,5 +75,5 @@
   return null;
 }
 
-/** Last event of a whole stream of completions. */
+/** Last event of a complete stream of completions. */
 export const DONE_EVENT = 'data: [DONE]\n\n';
--- a/src/transport/TransportHttp.ts
+++ b/src/transport/TransportHttp.ts
@@ -1,17 +1,17 @@
-/** HTTP servers and bodies, by koa. */
+/** HTTP servers with koa, and reading of bodies and headers. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import type Koa from 'koa';
 import getRawBody from 'raw-body';
 import { RequestError } from '../protocol/index.js';
 import type { Address } from './TransportAddress.js';
 
-/** Largest body of a caller's request, in bytes. */
+/** Maximum size of a caller's request body, in bytes. */
 export const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-/** Idle time of a kept-alive connection: longer than our clients', so that they close first. ms. */
+/** How long idle connections are kept, ms: longer than our clients do, so that they close first. */
 const KEEP_ALIVE_TIMEOUT_MS = 75_000;
 
-/** Serves a koa application until the signal; requests in progress are not cut by it. */
+/** Serves a koa application until the signal aborts; requests in progress are completed. */
 export async function serveHttp(app: Koa, address: Address, signal: AbortSignal): Promise<Server> {
   const handler = app.callback();
   const server = createServer((req, res) => {
@@ -31,9 +31,9 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads a complete body.
  *
- * @throws {RequestError} if it is too large or breaks off.
+ * @throws {RequestError} if it is too large or incomplete.
  */
 export async function readBody(req: IncomingMessage): Promise<Buffer> {
   try {
@@ -43,7 +43,7 @@
   }
 }
 
-/** A header's single value. */
+/** Value of a header; the first one if it has several. */
 export function headerOf(req: IncomingMessage, name: string): string | undefined {
   const value = req.headers[name];
   return Array.isArray(value) ? value[0] : value;
--- a/src/transport/TransportLink.ts
+++ b/src/transport/TransportLink.ts
@@ -1,6 +1,6 @@
 /**
- * A link between two of the system's processes: JSON-RPC 2.0 both ways over one TCP connection,
- * framed and coded by msgpackr.
+ * A link between two of the system's processes: JSON-RPC 2.0 in both directions over one TCP
+ * connection, framed and encoded by msgpackr.
  */
 import type { Socket } from 'node:net';
 import {
@@ -13,39 +13,39 @@
 import { PackrStream, UnpackrStream } from 'msgpackr';
 import { LinkTimeoutError } from './TransportLinkTimeoutError.js';
 
-/** Each side sends at least this often. In ms. */
+/** Interval at which each side sends a heartbeat, ms. */
 export const HEARTBEAT_INTERVAL_MS = 600;
 
 /**
- * A link on which nothing was heard for this long is closed: three beats, and short against the
- * leases that are renewed over links. In ms.
+ * A link on which nothing was received for this long is closed, ms: three heartbeats, and short
+ * compared with the leases that are renewed over links.
  */
 export const LINK_TIMEOUT_MS = 2_000;
 
-/** Method that only shows that the peer is there. */
+/** Method without effect that only shows that the peer responds. */
 export const HEARTBEAT_METHOD = 'link.beat';
 
-/** How long an answer may take unless the caller says otherwise. In ms. */
+/** Default limit on the time to an answer, ms. */
 export const REPLY_TIMEOUT_MS = 3_000;
 
-/** Code of an error that no peer has sent: no answer came in time. */
+/** Error code for a request without an answer in time; it is set locally and never sent by a peer. */
 const TIMEOUT_CODE = -32_000;
 
-/** Handles one method; what it returns is the reply. */
+/** Handler of a method; its result is the reply. */
 export type LinkHandler = (params: unknown, link: TransportLink) => unknown;
 
 /** Handlers by method. */
 export type LinkHandlers = Readonly<Record<string, LinkHandler>>;
 
-/** Test switch of a link: while it says so, messages are dropped silently both ways. */
+/** Test switch of a link: while it returns true, messages are dropped in both directions. */
 export type LinkSwitch = (link: TransportLink) => boolean;
 
-/** One open link. Ends with its socket or its signal. */
+/** An open link, which ends with its socket. */
 export class TransportLink {
-  /** Name of the peer, as far as it is known; set by who accepts it. */
+  /** Name of the peer; empty on the accepting side until that sets it. */
   peer: string;
 
-  /** Name of the target that it was opened to; empty on the side that accepted it. */
+  /** Name of the target that the link was opened to; empty on the accepting side. */
   target = '';
 
   readonly #socket: Socket;
@@ -104,17 +104,17 @@
     return this.#closed;
   }
 
-  /** Whether the link was closed because nothing was heard on it. */
+  /** Whether the link was closed because nothing was received on it. */
   get hasTimedOut(): boolean {
     return this.#hasTimedOut;
   }
 
-  /** When anything was last heard, ms on the local monotonic clock. */
+  /** When something was last received, ms on the local monotonic clock; at first, when the link was opened. */
   get lastReceivedAt(): number {
     return this.#lastReceivedAt;
   }
 
-  /** Whether anything was heard yet: a frozen host's kernel opens connections too. */
+  /** Whether anything was received yet; an open connection doesn't imply that, since a frozen host's kernel accepts it. */
   get hasReceived(): boolean {
     return this.#lastReceivedAt > this.#openedAt;
   }
@@ -125,9 +125,9 @@
   }
 
   /**
-   * Calls a method of the peer. Rejects if the link ends.
+   * Calls a method of the peer. Rejects if the link is closed.
    *
-   * @throws {LinkTimeoutError} if the answer takes too long.
+   * @throws {LinkTimeoutError} if no answer arrives within `timeoutMs`.
    */
   async request(method: string, params: unknown, timeoutMs = REPLY_TIMEOUT_MS): Promise<unknown> {
     const rpc = this.#client.timeout(timeoutMs, (id) =>
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Sends without waiting for an answer; nothing tells whether it arrived. */
+  /** Sends a message without waiting for an answer; whether it arrived isn't reported. */
   notify(method: string, params: unknown): void {
     this.#rpc.notify(method, params, undefined);
   }
@@ -157,7 +157,10 @@
     }
   }
 
-  /** While cut, drops. A link with a hole in it is closed after that: TCP never leaves one. */
+  /**
+   * Whether to drop a message because of the test switch. A link that has dropped messages is closed afterwards, since
+   * a TCP connection never loses only some of its messages.
+   */
   #isDropping(): boolean {
     if (this.#isCut(this)) {
       this.#hasDropped = true;
@@ -175,16 +178,16 @@
         this.#rpc.receiveAndSend(payload, undefined, undefined).catch(() => undefined);
       }
     });
-    // What can't be decoded can't be trusted to be in step again: the link starts afresh.
+    // After a decoding error the message boundaries are unknown, so the link is closed and opened anew.
     unpacker.on('error', () => this.close());
     this.#socket.on('error', () => this.close());
     this.#socket.pipe(unpacker);
   }
 
   /**
-   * Failure: something between the two ends forgets the connection. Symptom: it stays open and
-   * silent for good while new ones work. Enough: both ends send at an interval and drop a link
-   * that was silent for three of them; whoever made it connects afresh. It says nothing about the peer's health.
+   * Sends heartbeats, and closes the link if nothing was received for {@link LINK_TIMEOUT_MS}; the side that opened it
+   * then connects again. Otherwise a connection that a device on the path has dropped would stay open without traffic
+   * while new ones work. A timeout doesn't imply that the peer has failed.
    */
   #startHeartbeat(): void {
     const timer = setInterval(() => {
--- a/src/transport/TransportLinkClient.ts
+++ b/src/transport/TransportLinkClient.ts
@@ -1,4 +1,4 @@
-/** Keeps one link up to one of several addresses. */
+/** Maintains one link to one of several targets. */
 import { setTimeout as delay } from 'node:timers/promises';
 import {
   HEARTBEAT_METHOD,
@@ -14,52 +14,52 @@
 } from './TransportLinkConnector.js';
 import { raceForLink } from './TransportLinkSearch.js';
 
-/** Pause before the first repetition, ms: hosts that lost power together are back within tenths of a second. */
+/** Base of the pause between attempts, ms: hosts that lost power together are back within tenths of a second. */
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
-/** How often a link to another than the first target is reconsidered. In ms. */
+/** Interval at which a client that isn't linked to the first target tries to return to it, ms. */
 const RETURN_INTERVAL_MS = 5_000;
 
-/** Why another target is looked for: the present one is of no use, or one that is preferred may be back. */
+/** Reason of a search: `other` if the current target doesn't respond, `return` if the preferred one may be back. */
 export type LinkSearchReason = 'other' | 'return';
 
-/** What a search came to. */
+/** Result of a search. */
 export interface LinkSearchResult {
   readonly reason: LinkSearchReason;
-  /** Target of the present link. */
+  /** Target of the current link. */
   readonly from: string;
   readonly targets: readonly string[];
-  /** Target that was found; null where none was. */
+  /** Target of the new link; null if there is none. */
   readonly found: string | null;
-  /** Whether it was ended before all targets were tried. */
+  /** Whether the search was stopped early. */
   readonly stopped: boolean;
 }
 
-/** What a client of links needs. */
+/** Options of a link client. */
 export interface LinkClientOptions {
-  /** Targets in order of preference; asked again for each connection. */
+  /** Returns the targets in order of preference; called for each connection. */
   readonly targets: () => readonly LinkTarget[];
   readonly handlers: LinkHandlers;
   readonly signal: AbortSignal;
   readonly isCut?: LinkSwitch;
-  /** Called with each new link; if it rejects, the link is closed and the next target tried. */
+  /** Called with each new link; if it rejects, the link is closed and another target is tried. */
   readonly onUp: (link: TransportLink) => Promise<void>;
-  /** Number from 0 to 1, to spread reconnects. */
+  /** Returns a random number from 0 to 1, to spread reconnects. */
   readonly jitter: () => number;
-  /** Called with each attempt that came to nothing, those that were given up included. */
+  /** Called with each failed attempt, including aborted ones. */
   readonly onFailure?: (failure: LinkAttemptFailure) => void;
   /** Called at the end of each search. */
   readonly onSearched?: (result: LinkSearchResult) => void;
 }
 
-/** A search under way. */
+/** A search in progress. */
 interface LinkSearch {
   readonly reason: LinkSearchReason;
   readonly stop: AbortController;
 }
 
-/** A link that is made anew whenever it ends, until the signal. */
+/** Opens a link, and a new one whenever it ends, until the signal aborts. */
 export class TransportLinkClient {
   readonly #options: LinkClientOptions;
 
@@ -67,18 +67,18 @@
 
   #link: TransportLink | null = null;
 
-  /** A link that a search has found, to take the place of the present one. */
+  /** A link found by a search, which replaces the current one. */
   #replacement: TransportLink | null = null;
 
   #search: LinkSearch | null = null;
 
-  /** Whether another target is to be looked for once the search under way has ended. */
+  /** Whether to search for another target once the search in progress has ended. */
   #isSearchQueued = false;
 
-  /** Resolves once no search is under way. */
+  /** Resolves once no search is in progress. */
   #searchDone: Promise<void> = Promise.resolve();
 
-  /** When a peer was last heard on a link that has ended; at first, when this client was made. */
+  /** When something was last received on an ended link; at first, when this client was created. */
   #lastReceivedEarlier = performance.now();
 
   constructor(options: LinkClientOptions) {
@@ -87,17 +87,17 @@
     this.#run().catch(() => undefined);
   }
 
-  /** The link, once its `onUp` is through; null while there is none. */
+  /** The current link, after its `onUp` has resolved; null if there is none. */
   get link(): TransportLink | null {
     return this.#link;
   }
 
-  /** When a peer was last heard, on this link or an earlier one; ms on the local monotonic clock. */
+  /** When something was last received on the current or an earlier link, ms on the local monotonic clock. */
   get heardAt(): number {
     return this.#link?.hasReceived === true ? this.#link.lastReceivedAt : this.#lastReceivedEarlier;
   }
 
-  /** Calls a method of the peer. Rejects at once while there is no link. */
+  /** Calls a method of the peer. Rejects at once if there is no link. */
   async request(method: string, params: unknown, timeoutMs?: number): Promise<unknown> {
     if (this.#link === null) {
       throw new Error('no link');
@@ -105,20 +105,20 @@
     return this.#link.request(method, params, timeoutMs);
   }
 
-  /** Asks the peer for a sign of life. Rejects at once while there is no link. */
+  /** Checks that the peer responds. Rejects at once if there is no link. */
   async ping(timeoutMs: number): Promise<void> {
     await this.request(HEARTBEAT_METHOD, {}, timeoutMs);
   }
 
-  /** Sends without waiting for an answer; does nothing while there is no link. */
+  /** Sends a message without waiting for an answer; does nothing if there is no link. */
   notify(method: string, params: unknown): void {
     this.#link?.notify(method, params);
   }
 
   /**
-   * Looks for another target while this link stays; the first that is up takes its place. Ends with
-   * {@link stopSearch}; if this link ends first, the search goes on. A return under way gives way: it asks
-   * but one target.
+   * Searches for another target while the current link stays open; the first new link replaces it. The search ends with
+   * {@link stopSearch} and continues if the current link ends. A return in progress is stopped first, since it tries
+   * only one target.
    */
   searchOther(): void {
     if (this.#search?.reason === 'return') {
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Ends a search for another target: the present link is of use again. A return goes on: it asks for a better
-   * link, not for one in place of a useless one.
+   * Stops a search for another target, because the current one responds again. A return to the preferred target
+   * continues, since it doesn't depend on that.
    */
   stopSearch(): void {
     this.#isSearchQueued = false;
@@ -148,12 +148,12 @@
     while (!signal.aborted) {
       // eslint-disable-next-line no-await-in-loop
       await this.#searchDone;
-      // One link at a time, by design: this loop is its owner.
+      // Sequential by design: this loop owns the only link.
       // eslint-disable-next-line no-await-in-loop
       const link = this.#takeReplacement() ?? (await this.#openAny(failures));
       // eslint-disable-next-line no-await-in-loop
       await this.#serveLink(link);
-      // A target that went silent is likely out of reach still: connecting to it first would hang.
+      // A target whose link timed out is probably still unreachable; connecting to it first would block.
       failures = link === null || link.hasTimedOut ? failures + 1 : 0;
       const pause = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
       if (this.#replacement === null) {
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Makes a link to the first target that answers; null where none does. `failures` moves the first ones to the end.
-   * Targets are tried side by side, since one of them may have no power yet.
+   * Opens a link to the first target that responds; null if none does. The first `failures` targets are tried last.
+   * Targets are tried concurrently, since one of them may have no power yet.
    */
   async #openAny(failures: number): Promise<TransportLink | null> {
     const { signal, targets } = this.#options;
@@ -184,14 +184,14 @@
       : this.#open(rotated[0]);
   }
 
-  /** Connects to a target and brings the link up; null where that fails. */
+  /** Connects to a target and runs `onUp`; null if either fails. */
   async #open(target: LinkTarget | undefined): Promise<TransportLink | null> {
     const { signal } = this.#options;
     const link = target === undefined ? null : await this.#connector.connect(target, signal);
     return link !== null && (await this.#connector.bringUp(link, signal)) ? link : null;
   }
 
-  /** Serves a link to its end. */
+  /** Makes a link the current one until it ends. */
   async #serveLink(link: TransportLink | null): Promise<void> {
     if (link === null) {
       return;
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Looks for the first target while a link leads elsewhere: else all that moved away from a process that
-   * restarted would stay away, and an AZ that is cut off later would find its processes attached elsewhere.
+   * Tries to return to the first target at an interval. Otherwise the clients of a restarted process would stay with
+   * others, and the processes of an availability zone that is cut off later would be linked to other zones.
    */
   #returnToFirst(link: TransportLink): () => void {
     const { targets, jitter } = this.#options;
@@ -225,9 +225,9 @@
   }
 
   /**
-   * Failure: a hub freezes, and connections to it still open, since its kernel takes them. Symptom: a process
-   * that gives its link up for another hangs there, and callers are served by an older configuration
-   * meanwhile. Enough: the link stays until another target has answered, and several are asked side by side.
+   * Searches while the current link stays open until another target has responded; several are tried concurrently. The
+   * kernel of a frozen hub still accepts connections, so a process that closed its link first could get stuck at such
+   * a hub, and would serve callers with an older configuration meanwhile.
    */
   #startSearch(reason: LinkSearchReason, targets: readonly LinkTarget[]): void {
     const from = this.#link?.target;
--- a/src/transport/TransportLinkConnector.ts
+++ b/src/transport/TransportLinkConnector.ts
@@ -1,4 +1,4 @@
-/** Makes links to targets, step by step, and tells where an attempt ended. */
+/** Opens links to targets in several stages, and reports the stage at which an attempt failed. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import type { Address } from './TransportAddress.js';
@@ -10,28 +10,28 @@
 } from './TransportLink.js';
 
 /**
- * An attempt to connect takes at most three round trips between regions. A host without power drops it, and the
- * kernel tries again only after a second, by which time the host may have been up for long. In ms.
+ * Limit on connecting, ms: three round trips between regions. A host without power drops the attempt, and the kernel
+ * retries only after a second, when the host may have been up for a while.
  */
 const CONNECT_TIMEOUT_MS = 300;
 
-/** Where a link may lead. */
+/** Target of a link. */
 export interface LinkTarget {
   readonly name: string;
   readonly address: Address;
 }
 
-/** Step of an attempt: the connection, the peer's sign of life, what the user of the link does first. */
+/** Stage of an attempt: `connect`, `signOfLife` (the peer answers a ping) and `join` (the link's `onUp`). */
 export type LinkStage = 'connect' | 'signOfLife' | 'join';
 
-/** An attempt that came to nothing. */
+/** A failed attempt. */
 export interface LinkAttemptFailure {
   readonly target: string;
   readonly stage: LinkStage;
   readonly reason: string;
 }
 
-/** What a connector needs. */
+/** Options of a connector. */
 export interface LinkConnectorOptions {
   readonly handlers: LinkHandlers;
   readonly isCut?: LinkSwitch | undefined;
@@ -41,12 +41,11 @@
 }
 
 /**
- * Connects.
+ * Opens a socket. Rejects after {@link CONNECT_TIMEOUT_MS}.
  *
- * Failure: a host is dark and answers nothing. Symptom: the attempt hangs for as long as the kernel tries, and
- * with it the process that waits for a hub, or two control hosts that could elect a leader. Enough: a timer that
- * the event loop holds ends it. `AbortSignal.any` holds a timeout signal only weakly: with the first garbage
- * collection its timer is gone.
+ * Without this limit, an attempt to connect to a host without power would block for as long as the kernel retries, and
+ * with it a process that waits for a hub, or two control hosts that could elect a leader. `setTimeout` is used because
+ * `AbortSignal.any` refers to a timeout signal only weakly, so that a garbage collection can remove its timer.
  */
 async function openSocket(address: Address, signal: AbortSignal): Promise<Socket> {
   const socket = connect({ host: address.host, port: address.port });
@@ -67,14 +66,14 @@
   }
 }
 
-/** Closes a link when a signal comes; returns its undo. */
+/** Closes a link when the signal aborts; returns a function that undoes this. */
 export function closeOnAbort(signal: AbortSignal, link: TransportLink): () => void {
   const onAbort = (): void => link.close();
   signal.addEventListener('abort', onAbort);
   return () => signal.removeEventListener('abort', onAbort);
 }
 
-/** Makes links; each step resolves to nothing where it fails. */
+/** Opens links; its methods resolve to null or false if a stage fails. */
 export class LinkConnector {
   readonly #options: LinkConnectorOptions;
 
@@ -95,7 +94,7 @@
     }
   }
 
-  /** Connects to a target and waits for a sign of life. */
+  /** Connects to a target and waits for its answer to a ping; null if either fails. */
   async connectAndPing(
     target: LinkTarget,
     timeoutMs: number,
@@ -110,12 +109,12 @@
     return isAlive ? link : null;
   }
 
-  /** Has the link's user take it up; false where the peer takes no part. */
+  /** Runs `onUp` with the link; false if that fails. */
   async bringUp(link: TransportLink, signal: AbortSignal): Promise<boolean> {
     return this.#tryStep(link, signal, 'join', async () => this.#options.onUp(link));
   }
 
-  /** Runs a step; a link on which it fails, or that the signal ends meanwhile, is closed. */
+  /** Runs a stage of an attempt; the link is closed if that fails or if the signal aborts meanwhile. */
   async #tryStep(
     link: TransportLink,
     signal: AbortSignal,
--- a/src/transport/TransportLinkSearch.ts
+++ b/src/transport/TransportLinkSearch.ts
@@ -1,34 +1,34 @@
-/** Looks for a target that answers, several side by side. */
+/** Searches for a target that responds, trying several concurrently. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { TransportLink } from './TransportLink.js';
 import type { LinkConnector, LinkTarget } from './TransportLinkConnector.js';
 
 /**
- * The next target is tried too after this long, or once the one before has failed: some ten round trips between
- * AZs, so that one that is out of reach costs little, and one that is near is alone. In ms.
+ * The next target is tried after this time, or once the previous one has failed, ms: about ten round trips between
+ * availability zones, so that an unreachable target costs little time and a near one is tried alone.
  */
 const STAGGER_MS = 100;
 
-/** A target that gives no sign of life for this long is left out of a search. In ms. */
+/** A target that doesn't answer a ping within this time is skipped, ms. */
 const PING_TIMEOUT_MS = 1_000;
 
-/** What ends a race: `stop` before a target takes the process in, `end` at any time. */
+/** Signals that end a search: `stop` only until the `onUp` of a link has started, `end` at any time. */
 export interface RaceSignals {
   readonly stop: AbortSignal;
   readonly end: AbortSignal;
 }
 
-/** Lets the target before have its time. */
+/** Waits until the next target may be tried. */
 async function waitStagger(signal: AbortSignal): Promise<void> {
   await delay(STAGGER_MS, undefined, { signal, ref: false }).catch(() => undefined);
 }
 
 /**
- * The first link of several that is up; null where none came up before the search ended.
+ * Opens links to several targets and returns the first that is up; null if the search ended before.
  *
- * Failure: a search is stopped while a peer takes this process in. Symptom: that peer counts the process as its
- * own, newer than the one that really has it, and calls it gone for all. Enough: what is being taken in is seen
- * through; a peer that hangs is bounded by the limit of that step.
+ * `stop` doesn't interrupt a link's `onUp`. Otherwise a peer that is registering this process would record it as its
+ * own, with a newer record than the peer that really has it, and later report it `gone` to all. A peer that doesn't
+ * answer is bounded by the timeout of that stage.
  */
 export async function raceForLink(
   connector: LinkConnector,
@@ -38,7 +38,7 @@
   const finished = new AbortController();
   const signal = AbortSignal.any([stop, end, finished.signal]);
   let found: TransportLink | null = null;
-  // One at a time is brought up, so that no two hubs count this process as theirs.
+  // Links are brought up one at a time, so that no two hubs register this process.
   let bringUpQueue = Promise.resolve();
   const bringUp = async (link: TransportLink): Promise<void> => {
     if (found === null && !signal.aborted && (await connector.bringUp(link, end))) {
--- a/src/transport/TransportLinkServer.ts
+++ b/src/transport/TransportLinkServer.ts
@@ -1,9 +1,9 @@
-/** Accepts links. */
+/** Server that accepts links. */
 import { createServer, type Server } from 'node:net';
 import type { Address } from './TransportAddress.js';
 import { TransportLink, type LinkHandlers, type LinkSwitch } from './TransportLink.js';
 
-/** What a server of links needs. */
+/** Options of a link server. */
 export interface LinkServerOptions {
   readonly address: Address;
   readonly handlers: LinkHandlers;
@@ -13,7 +13,7 @@
   readonly onClosed?: (link: TransportLink) => void;
 }
 
-/** Listens until the signal; closes all its links then. */
+/** Accepts links until the signal aborts, then closes them all. */
 export async function serveLinks(options: LinkServerOptions): Promise<Server> {
   const { address, handlers, signal, isCut, onClosed } = options;
   const links = new Set<TransportLink>();
--- a/src/transport/TransportLinkTimeoutError.ts
+++ b/src/transport/TransportLinkTimeoutError.ts
@@ -1,9 +1,8 @@
 /**
- * No answer came in time: the peer is frozen, out of reach or slow.
+ * A request got no answer in time: the peer is frozen, unreachable or slow.
  *
- * Failure: whoever asked works out from its own clock whether the question ran into its limit. Symptom: timers
- * fire up to a millisecond early, and one silent peer in four is taken for one that refused. Enough: the timer
- * itself says so.
+ * The request's timer causes this error, so callers need not compare clocks. Timers fire up to a millisecond early; by
+ * such a comparison, one unresponsive peer in four was taken for one that had refused.
  */
 export class LinkTimeoutError extends Error {
   constructor(method: string, timeoutMs: number) {
--- a/src/transport/TransportParts.ts
+++ b/src/transport/TransportParts.ts
@@ -1,4 +1,4 @@
-/** Bulk over a link: packed, compressed, and sent in parts that can be paced. */
+/** Large messages over a link: packed, compressed, and sent in parts at a limited rate. */
 import { promisify } from 'node:util';
 import { deflateRaw, inflateRaw } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
@@ -7,10 +7,10 @@
 const deflate = promisify(deflateRaw);
 const inflate = promisify(inflateRaw);
 
-/** Bytes of one part. */
+/** Maximum size of a part, in bytes. */
 export const PART_BYTES = 4_096;
 
-/** Messages shorter than this go as they are. In bytes. */
+/** Messages up to this size are sent as they are, in bytes. */
 const MAX_UNSPLIT_BYTES = 1_024;
 
 interface Part {
@@ -21,10 +21,10 @@
   readonly bytes: Uint8Array;
 }
 
-/** How long to wait after so many bytes were sent. In ms. */
+/** Returns how long to wait after sending a number of bytes, ms. */
 export type SendDelay = (bytes: number) => number;
 
-/** Sends messages in order; what is large goes in parts, at the pace given. */
+/** Sends messages in order; large ones are sent in parts, with the given delay after each part. */
 export class PartsSender {
   readonly #link: TransportLink;
 
@@ -32,7 +32,7 @@
 
   #queue: Promise<void> = Promise.resolve();
 
-  /** Messages by method that wait in the queue and may still be merged with later ones. */
+  /** Queued messages by method that can still be merged with later ones. */
   readonly #mergeable = new Map<string, { params: unknown }>();
 
   #counter = 0;
@@ -42,7 +42,7 @@
     this.#sendDelay = sendDelay;
   }
 
-  /** Queues a message behind those queued before. */
+  /** Queues a message. */
   notify(method: string, params: unknown): void {
     const packed = pack(params);
     this.#queue = this.#queue
@@ -51,11 +51,11 @@
   }
 
   /**
-   * Queues a message, or merges it with the last of its method that still waits; `merge` gives null where
-   * the two can't be one.
+   * Queues a message, or merges it with the last queued one of its method; `merge` returns null if the
+   * two can't be merged.
    *
-   * Failure: large messages come faster than the pace lets them go. Symptom: the newest arrives seconds
-   * late, behind others that it has overtaken. Enough: at most one is on its way and one waits.
+   * If large messages are queued faster than they can be sent, the newest would otherwise arrive seconds late, behind
+   * others that it replaces. With merging, at most one is being sent and one is queued.
    */
   notifyMerged<T>(method: string, params: T, merge: (waiting: T, next: T) => T | null): void {
     const waiting = this.#mergeable.get(method);
@@ -104,20 +104,19 @@
   }
 }
 
-/** What has come of a message so far. */
+/** Parts of a message received so far. */
 interface PartialMessage {
   readonly id: number;
   readonly parts: readonly Uint8Array[];
 }
 
 /**
- * Adds to handlers one that puts parts together and hands the whole to the method's own.
+ * Adds a handler that reassembles parts and passes the complete message to the handler of its method.
  *
- * Failure: a process has links to two hubs while it moves, and both send. Symptom: parts of one message are
- * taken for the other's, and neither arrives. Enough: each link's parts are kept by themselves; on one link
- * they come in order.
+ * Parts are kept per link, where they arrive in order. A process has links to two hubs while it moves between them;
+ * if both send, mixed parts would make both messages incomplete.
  *
- * @param onProgress called with each part that was taken.
+ * @param onProgress called for each part that was accepted.
  */
 export function withParts(
   handlers: LinkHandlers,
--- a/src/transport/TransportProbe.ts
+++ b/src/transport/TransportProbe.ts
@@ -1,42 +1,42 @@
-/** Tells by one connection, or a few, whether anything listens at an address. */
+/** Checks with one or a few connections whether a process listens at an address. */
 import { connect } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Address } from './TransportAddress.js';
 
-/** What a probe has found. */
+/** Result of a probe. */
 export type ProbeResult =
-  /** The host answered that nothing listens there: the process has ended. */
+  /** The host refused the connection, since nothing listens there: the process has ended. */
   | 'refused'
-  /** Something listens there, and kept the connection. */
+  /** The connection was accepted and kept open. */
   | 'open'
-  /** No answer in time, or each connection was taken and closed. */
+  /** There was no answer in time, or each connection was accepted and closed again. */
   | 'unknown';
 
-/** An answer takes this long at most: some ten round trips between AZs. In ms. */
+/** Limit on connecting, ms: about ten round trips between availability zones. */
 const CONNECT_TIMEOUT_MS = 60;
 
-/** A probe that is taken and not closed at once tells no more for a while, ms. */
+/** A connection that is still open after this time is unlikely to give a result soon, ms. */
 const ACCEPTED_MS = 20;
 
 /**
- * A connection that stays open this long has been kept. A proxy in front of a process that has ended takes it as
- * well, and closes it once it has found nobody. In ms.
+ * A connection that stays open this long counts as kept, ms. A proxy in front of a process that has ended accepts
+ * connections as well, and closes them once it finds no process.
  */
 const KEPT_OPEN_MS = 300;
 
-/** Connections tried at most, and the pause between them, ms: a process is done with ending by then. */
+/** Maximum number of connections, and the pause between them, ms: a process that is ending is done by then. */
 const MAX_TRIES = 3;
 const RETRY_PAUSE_MS = 40;
 
-/** A probe under way. */
+/** A probe in progress. */
 export interface Probe {
   /** Never rejects. */
   readonly result: Promise<ProbeResult>;
-  /** Resolves with the result, or earlier where that will take long: whoever waits to go on needn't wait longer. */
+  /** Resolves with the result, or before if that takes long, so that callers need not wait longer. */
   readonly settled: Promise<void>;
 }
 
-/** Tries one connection; `onTaken` is called once it was taken and not closed at once. */
+/** Tries one connection; `onTaken` is called if it is still open after {@link ACCEPTED_MS}. */
 async function tryOnce({ host, port }: Address, onTaken: () => void): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect({ host, port });
@@ -56,15 +56,17 @@
     socket.once('error', (err: NodeJS.ErrnoException) =>
       end(err.code === 'ECONNREFUSED' ? 'refused' : 'unknown'),
     );
-    // Read, so that an end is noticed.
+    // An end is only noticed on a socket that is read.
     socket.resume();
   });
 }
 
 /**
- * Failure: a process that ends has closed its connections and not yet what it listens on. Symptom: a probe right
- * after the loss is taken and reset, which tells nothing, and the end is held against nobody. Enough: it is tried
- * again until the process must be done with ending.
+ * Probes an address, repeatedly if the result is unknown.
+ *
+ * A process that ends closes its connections before its listening socket. In between, a new connection is accepted and
+ * reset, which gives no result, and the crash would be attributed to no request. Therefore the probe is repeated until
+ * the process must have ended.
  */
 async function probe(address: Address, onTaken: () => void): Promise<ProbeResult> {
   for (let left = MAX_TRIES; left > 1; left -= 1) {
@@ -79,7 +81,7 @@
   return tryOnce(address, onTaken);
 }
 
-/** Probes an address. */
+/** Starts a probe of an address. */
 export function probeAddress(address: Address): Probe {
   let settle: () => void = () => undefined;
   const settled = new Promise<void>((resolve) => {
@@ -91,7 +93,7 @@
   return { result, settled };
 }
 
-/** Probes the host and port of a URL. */
+/** Starts a probe of the host and port of a URL. */
 export function probeUrl(url: string): Probe {
   const { hostname, port, protocol } = new URL(url);
   const defaultPort = protocol === 'https:' ? 443 : 80;
--- a/src/transport/TransportReset.ts
+++ b/src/transport/TransportReset.ts
@@ -1,11 +1,11 @@
-/** Closing of a connection by a reset. */
+/** Closes connections by a reset. */
 import type { Socket } from 'node:net';
 
 /**
- * Closes a socket by a reset, or in order where its own end is under way.
+ * Closes a socket by a reset, or by an ordinary close if its own end is in progress.
  *
- * libuv refuses a reset while an end isn't done, and Node takes the socket for closing all the same: it would stay open
- * for good without a `close`. Whoever has ended its side has nothing to take back.
+ * libuv refuses a reset while an end is in progress, but Node still considers the socket as closing, so that it would
+ * stay open without a `close` event. A side that has ended its output has nothing left to discard.
  */
 export function resetSocket(socket: Socket): Socket {
   const isEnding = socket.writableEnded && !socket.writableFinished;
--- a/src/transport/__tests__/unit/TransportCall.test.ts
+++ b/src/transport/__tests__/unit/TransportCall.test.ts
@@ -7,7 +7,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { openPool, startCall, type CallListener } from '../../index.js';
 
-/** Prints its port, then for each connection how many bytes came on it, and whether its peer would hear more. */
+/** Prints its port, then for each connection whether it was reset or is still open, and the bytes received. */
 const COUNTING_SERVER = `require('net').createServer({ allowHalfOpen: true }, (socket) => {
   let bytes = 0;
   socket.on('data', (chunk) => { bytes += chunk.length; });
@@ -28,7 +28,7 @@
 interface CountingServer {
   readonly child: ChildProcess;
   readonly origin: string;
-  /** The next line that it prints. */
+  /** Resolves with the next line of its output. */
   readonly nextLine: () => Promise<string>;
 }
 
@@ -41,7 +41,7 @@
   return { child, origin: `http://127.0.0.1:${await nextLine()}`, nextLine };
 }
 
-/** Sends a request of this size to a server that stands still, and gives it up; how the server saw its end. */
+/** Sends a request of this size to a stopped server and aborts it; returns the line that the server then prints. */
 async function abortAtStoppedServer(bodyBytes: number): Promise<string> {
   const { child, origin, nextLine } = await startServer();
   child.kill('SIGSTOP');
@@ -60,7 +60,7 @@
   return ending;
 }
 
-/** Gives a call up in the middle of an answer that ends with its connection; what was thrown where nobody awaits. */
+/** Aborts a call during an answer that ends with its connection; returns the messages of uncaught exceptions. */
 async function abortDuring(step: 'onHead' | 'onData'): Promise<readonly string[]> {
   const thrown: string[] = [];
   const onThrown = (err: Error): number => thrown.push(err.message);
@@ -76,13 +76,13 @@
   const running = startCall(endpoint, call, { ...NOOP_LISTENER, [step]: () => running.abort() });
   await delay(100);
   process.off('uncaughtException', onThrown);
-  // A client that has thrown may never be done with it.
+  // After an uncaught exception the pool may never be destroyed.
   await Promise.race([endpoint.pool.destroy(), delay(100)]);
   server.close();
   return thrown;
 }
 
-/** Sends a call to an endpoint that answers with these bytes, and ends; what is heard of it. */
+/** Sends a call to an endpoint that answers with these bytes and closes; returns the callbacks that were called. */
 async function callbacksFor(answer: string): Promise<readonly string[]> {
   const callbacks: string[] = [];
   const server = createServer((socket) => socket.once('data', () => socket.end(answer)));
@@ -108,32 +108,32 @@
 }
 
 describe('startCall', () => {
-  // Guards against: bytes in a coding that nobody decodes are passed on as the body.
+  // Without this check, bytes in a coding that isn't decoded would be passed on as the body.
   ['gzip', 'gzip, chunked', 'chunked, gzip'].forEach((coding) => {
-    it(`takes an answer in ${coding} for none`, async () => {
+    it(`fails an answer with transfer coding ${coding}`, async () => {
       const answer = `HTTP/1.1 200 OK\r\nTransfer-Encoding: ${coding}\r\n\r\n3\r\nabc\r\n0\r\n\r\n`;
       assert.deepEqual(await callbacksFor(answer), ['error']);
     });
   });
 
-  // Guards against: a call that is given up while its answer comes ends the process and every stream on it.
+  // An uncaught exception on aborting a call during its answer would end the process with all its streams.
   (['onHead', 'onData'] as const).forEach((step) => {
-    it(`may be given up in ${step}`, async () => {
+    it(`can be aborted in ${step}`, async () => {
       assert.deepEqual(await abortDuring(step), []);
     });
   });
 
-  // A caller leaves while its request is on the way to a host that stands still. Taken back by an orderly
-  // close, the request stays with the kernel, which goes on delivering it; the host wakes, reads it whole, and
-  // works for nobody. A reset drops what wasn't delivered, and what was finds its connection gone.
+  // A caller disconnects while its request is being sent to a frozen host. After an orderly close, the kernel
+  // would go on delivering the request, and the host would run it for nobody once it resumes. A reset discards
+  // what wasn't delivered, and closes the connection of what was.
   [200, 60_000, 500_000, 4_000_000].forEach((bodyBytes) => {
-    it(`takes a request of ${bodyBytes} bytes back from a host that stands still`, async () => {
+    it(`resets the connection of an aborted request of ${bodyBytes} bytes to a frozen host`, async () => {
       assert.match(await abortAtStoppedServer(bodyBytes), /^reset /);
     });
   });
 
-  // As before, with more than the host's kernel takes in: the rest must not come once the host wakes.
-  it('leaves nothing to be delivered later', async () => {
+  // As above, with more than the host's kernel buffers: the rest must not arrive once the host resumes.
+  it('delivers nothing more of an aborted request later', async () => {
     const [, bytes] = (await abortAtStoppedServer(500_000)).split(' ');
     assert.ok(Number(bytes) < 500_000, `${bytes} bytes`);
   });
--- a/src/transport/__tests__/unit/TransportLinkClient.test.ts
+++ b/src/transport/__tests__/unit/TransportLinkClient.test.ts
@@ -14,7 +14,7 @@
   type LinkTarget,
 } from '../../index.js';
 
-/** Listens on a free port; the port. */
+/** Listens on a free port and returns it. */
 async function listenOn(server: Server): Promise<number> {
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -22,7 +22,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** A peer that answers signs of life, or is frozen: its kernel takes connections, nobody reads them. */
+/** A peer that answers pings, or one that is frozen: its kernel accepts connections, but nothing is read from them. */
 async function startPeer(isFrozen: () => boolean, accepted: () => void, signal: AbortSignal) {
   const server = createServer((socket) => {
     accepted();
@@ -34,7 +34,7 @@
   return { name: `${port}`, address: { host: '127.0.0.1', port } };
 }
 
-/** Several peers side by side, each frozen when its place says so. */
+/** Starts several peers, each frozen while `isFrozen` returns true for its index. */
 async function startPeers(
   count: number,
   isFrozen: (i: number) => boolean,
@@ -52,7 +52,7 @@
   );
 }
 
-/** A client of some targets, or of those that are asked for again with each connection. */
+/** A client of fixed targets, or of targets that are determined anew for each connection. */
 function startClient(
   targets: readonly LinkTarget[] | (() => readonly LinkTarget[]),
   signal: AbortSignal,
@@ -67,7 +67,7 @@
   });
 }
 
-/** A target behind a path that delays all bytes. */
+/** A target behind a proxy that delays all bytes. */
 async function startDelay(
   target: LinkTarget,
   delayMs: number,
@@ -88,7 +88,7 @@
   return { name: `slow ${target.name}`, address: { host: '127.0.0.1', port } };
 }
 
-/** Forces garbage collections, which a process that starts or works hard has by itself. */
+/** Returns a function that forces a garbage collection, as they happen at a start or under load. */
 function exposeGc(): () => void {
   setFlagsFromString('--expose-gc');
   return runInNewContext('gc') as () => void;
@@ -97,10 +97,10 @@
 const LISTEN_ONLY = `require('net').createServer().listen(
   { port: 0, host: '127.0.0.1', backlog: 1 }, function () { console.log(this.address().port); })`;
 
-/** Connections that fill the queue of a host that takes none from it. */
+/** Connections that fill the accept queue of a host that accepts none. */
 const BACKLOG_CONNECTIONS = 4;
 
-/** A host that answers no attempt to connect, as one without power: its queue is full, and it stands still. */
+/** A host that answers no attempt to connect, like one without power: it is stopped and its accept queue is full. */
 async function startSilentHost(signal: AbortSignal): Promise<LinkTarget> {
   const child = spawn(process.execPath, ['-e', LISTEN_ONLY], {
     stdio: ['ignore', 'pipe', 'inherit'],
@@ -120,7 +120,7 @@
   return { name: 'silent', address: { host: '127.0.0.1', port } };
 }
 
-/** A host that answers no attempt to connect, and one that answers. */
+/** A host that answers no attempt to connect, and a peer that responds. */
 async function startSilentAndOther(
   signal: AbortSignal,
 ): Promise<readonly [LinkTarget, LinkTarget]> {
@@ -143,11 +143,11 @@
 }
 
 describe('TransportLinkClient', () => {
-  // All hosts lose power, and one is up again a moment before the next: its connection there gets no answer,
-  // for good. The limit on the attempt was held by nothing but itself and went with the first garbage
-  // collection, as there are many at a start. Two control hosts of three that can't reach each other elect no
-  // leader; no configuration can be read, and callers are refused for as long as the system's own limit lasts.
-  it('gives up a host that never answers, whatever is collected meanwhile', async () => {
+  // All hosts lose power, and one is up again shortly before the next: its connection attempt there never gets an
+  // answer. The attempt's timeout was only weakly referenced and was removed by a garbage collection, as there are
+  // many at a start. Two control hosts of three that can't reach each other elect no leader, so no configuration can
+  // be read and callers are refused until the kernel's own timeout.
+  it('times out on a host that never answers, despite garbage collections', async () => {
     const stop = new AbortController();
     const [silent, other] = await startSilentAndOther(stop.signal);
     const collect = exposeGc();
@@ -159,8 +159,8 @@
     });
   });
 
-  // Guards against: after a power loss a process waits for the one hub that is still dark while others answer.
-  it('joins another target beside one that has no power yet', async () => {
+  // After a power loss, a process must not wait for a hub without power while others respond.
+  it('links to another target while one has no power yet', async () => {
     const stop = new AbortController();
     const [silent, other] = await startSilentAndOther(stop.signal);
     const failed: string[] = [];
@@ -180,10 +180,10 @@
     assert.equal(failedBefore, 0);
   });
 
-  // A hub freezes, and a question to it runs into its limit. Whoever asked compares clocks to see whether it
-  // was the limit; timers fire up to a millisecond early, so that one silent hub in four counted as one that
-  // had answered with an error, was asked again, and an older configuration was in force a second longer.
-  it('says of each question without an answer that time ran out', async () => {
+  // A request to a frozen hub times out. Callers used to compare clocks to detect the timeout; since timers fire up
+  // to a millisecond early, one unresponsive hub in four was taken for one that had answered with an error. It was
+  // asked again, and an older configuration stayed in force a second longer.
+  it('rejects each unanswered request with a timeout error', async () => {
     const stop = new AbortController();
     const peer = await startPeer(
       () => true,
@@ -203,10 +203,10 @@
     assert.ok(errors.every((err) => err instanceof LinkTimeoutError));
   });
 
-  // The hub of a process freezes, and so does the next one. Given up one after the other they cost a second
-  // or more each, while callers are served by an older configuration. The third is found beside them, and
-  // the first link stays until then.
-  it('finds the one target that answers beside two that are frozen', async () => {
+  // The hub of a process and the next one freeze. Tried one after the other, they would cost a second or more
+  // each, while callers are served with an older configuration. The third one is found concurrently, and the
+  // first link stays open until then.
+  it('finds the one target that responds while two are frozen', async () => {
     const stop = new AbortController();
     let frozen = false;
     const accepted = [0, 0, 0];
@@ -235,9 +235,9 @@
     assert.deepEqual(accepted, [1, 1, 1]);
   });
 
-  // The silent link ends while the search is under way. Given up with it, the search would begin anew with one
-  // target after the other, the dead ones first.
-  it('goes on searching when the link ends meanwhile', async () => {
+  // The unresponsive link ends during the search. If the search ended with it, a new one would start with the
+  // targets in order, the unreachable ones first.
+  it('continues the search if the link ends meanwhile', async () => {
     const stop = new AbortController();
     let frozen = false;
     const links: TransportLink[] = [];
@@ -257,8 +257,8 @@
     );
   });
 
-  // A link was slow, not dead, and its peer answers while another is looked for: the process stays.
-  it('stays where it is when the search is ended', async () => {
+  // A link was only slow, and its peer responds during the search for another target: the client keeps the link.
+  it('keeps its link if the search is stopped', async () => {
     const stop = new AbortController();
     const peers = await startPeers(2, () => false, stop.signal);
     const client = startClient(peers, stop.signal);
@@ -271,10 +271,10 @@
     stop.abort();
   });
 
-  // A hub restarted and is back; it is slow to give its sign of life. Meanwhile the hub that took the process
-  // in answers each question, and each good answer ends a search for another one. Ended with it, the return
-  // to the own AZ's hub would never be made, and a cut between AZs would find the process at the wrong side.
-  it('returns to the first target though the present one is of use', async () => {
+  // A hub has restarted and answers pings slowly. Meanwhile the process's current hub answers all requests, and each
+  // answer stops a search for another target. If that stopped the return to the hub of the own availability zone as
+  // well, a later cut between zones would find the process linked to the wrong zone.
+  it('returns to the first target though the current one responds', async () => {
     const stop = new AbortController();
     const [first, second] = await startPeers(2, () => false, stop.signal);
     assert.ok(first !== undefined && second !== undefined);
@@ -290,10 +290,10 @@
     });
   });
 
-  // A hub went silent for a moment, and another is taking the process in when the first answers again. Ended
-  // there, the search would leave the process with the old hub while the new one counts it as its own, and
-  // calls it gone for all later on.
-  it('moves to the target that is taking it in, though the first is of use again', async () => {
+  // A hub was unresponsive for a moment, and another one is registering the process when the first responds again.
+  // Stopping the search there would leave the process linked to the old hub while the new one has registered it, and
+  // would later report it gone to all.
+  it('moves to a target that is registering it, though the first responds again', async () => {
     const stop = new AbortController();
     const joined: string[] = [];
     const peers = await startPeers(2, () => false, stop.signal);
@@ -310,9 +310,9 @@
     await waitFor(() => client.link?.target === peers[1]?.name, 2_000).finally(() => stop.abort());
   });
 
-  // The process is on its way back to the hub of its AZ, which is slow, when the present hub goes silent. The
-  // search for any other must not wait for the return to be given up.
-  it('looks for another target though a return is under way', async () => {
+  // The process is returning to the slow hub of its availability zone when its current hub stops responding. The
+  // search for another target must not wait until the return fails.
+  it('searches for another target though a return is in progress', async () => {
     const stop = new AbortController();
     const [first, second, third] = await startPeers(3, () => false, stop.signal);
     assert.ok(first !== undefined && second !== undefined && third !== undefined);
@@ -330,9 +330,9 @@
     await waitFor(() => client.link?.target === third.name, 800).finally(() => stop.abort());
   });
 
-  // A control host is frozen for good; its kernel still takes connections. Counted as heard with each new
-  // link, it would keep its vote, and the next lost disk would leave no quorum.
-  it('does not count a frozen peer as heard, however often it takes a connection', async () => {
+  // A control host stays frozen, but its kernel still accepts connections. If each new link counted as contact, the
+  // host would remain a voter, and the next lost disk would leave no quorum.
+  it('does not take accepted connections of a frozen peer for contact', async () => {
     const stop = new AbortController();
     let links = 0;
     const peer = await startPeer(
@@ -350,10 +350,10 @@
     stop.abort();
   });
 
-  // The peer ends each link soon after it came up, as one does that restarts again and again. The
-  // process lives on for weeks; were each ended link kept until its signal, its memory would grow with
-  // every reconnect.
-  it('keeps nothing of links that have ended', async () => {
+  // The peer closes each link soon after it came up, as if it restarted again and again. If ended links
+  // were kept until the client's signal aborts, the memory of a process that runs for weeks would grow
+  // with every reconnect.
+  it('releases links that have ended', async () => {
     let accepted = 0;
     const server = createServer((socket) => {
       accepted += 1;
@@ -377,10 +377,10 @@
     assert.ok(kept <= 3, `${kept} listeners`);
   });
 
-  // The hub of a process is cut off: its link goes silent and is closed after two seconds. A configuration
-  // that was accepted elsewhere waits meanwhile. Connecting to the silent hub first would hang for another
-  // second and a half, and callers are served by the older configuration all that time.
-  it('tries another target first after one went silent', async () => {
+  // The hub of a process is cut off, and its link is closed after two seconds without traffic, while a newer
+  // configuration has been accepted elsewhere. Connecting to the unreachable hub first would block for another
+  // second and a half, and callers would be served with the older configuration all that time.
+  it('tries another target first after a link timed out', async () => {
     const order: string[] = [];
     const sockets: Socket[] = [];
     const servers: Server[] = [];
--- a/src/transport/__tests__/unit/TransportParts.test.ts
+++ b/src/transport/__tests__/unit/TransportParts.test.ts
@@ -4,9 +4,9 @@
 import { PartsSender, withParts, type TransportLink } from '../../index.js';
 
 describe('PartsSender', () => {
-  // Ten configurations come within a second, and the pace lets one go in that time. Callers are served by
-  // the oldest of them for ten seconds, though the newest stands for all: those that wait must become one.
-  it('merges what waits with what comes behind it', async () => {
+  // Ten configurations are queued within a second, but the rate allows one per second. Callers would be served with
+  // older ones for ten seconds, though the newest one replaces them all: queued messages must be merged.
+  it('merges queued messages with later ones', async () => {
     const sent: unknown[] = [];
     const link = { notify: (_method: string, params: unknown) => sent.push(params) };
     const sender = new PartsSender(link as unknown as TransportLink, () => 0);
@@ -23,9 +23,9 @@
 });
 
 describe('withParts', () => {
-  // A process moves from one hub to another, and both send it a configuration meanwhile. Mixed up, neither
-  // arrives, and callers are served by an older one.
-  it('keeps the parts of two links apart', async () => {
+  // While a process moves from one hub to another, both send it a configuration. If their parts were mixed, neither
+  // would arrive, and callers would be served with an older one.
+  it('keeps the parts of two links separate', async () => {
     const links = ['a', 'b'].map((name) => ({ name }) as unknown as TransportLink);
     const sent = await Promise.all(
       links.map(async (_link, i) => {
--- a/src/transport/__tests__/unit/TransportProbe.test.ts
+++ b/src/transport/__tests__/unit/TransportProbe.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { probeAddress } from '../../TransportProbe.js';
 
-/** Runs a task beside a server that does something with each connection. */
+/** Runs a task while a server passes each of its connections to `onSocket`. */
 async function withServer(
   host: string,
   onSocket: (socket: Socket) => void,
@@ -25,8 +25,8 @@
   });
 }
 
-describe('a probe of an address', () => {
-  it('tells a process that listens from one that has ended', async () => {
+describe('probeAddress', () => {
+  it('distinguishes a listening process from one that has ended', async () => {
     let closedAddress = { host: '127.0.0.1', port: 0 };
     await withServer(
       '127.0.0.1',
@@ -39,9 +39,9 @@
     assert.equal(await probeAddress(closedAddress).result, 'refused');
   });
 
-  // A proxy in front of a process that has ended takes the connection, and a loaded one takes a tenth of a second to
-  // find nobody behind it and to close it. Taken for a process that lives, it would acquit whoever has ended it.
-  it('says nothing where the connection is taken and closed', async () => {
+  // A proxy in front of a process that has ended accepts the connection; under load it needs a tenth of a second to
+  // find no process and to close it. Taken for a running process, it would clear the request that caused the crash.
+  it('is unknown if the connection is accepted and closed', async () => {
     const closings: readonly ((socket: Socket) => void)[] = [
       (socket) => socket.destroy(),
       (socket) => setTimeout(() => socket.destroy(), 100),
@@ -55,7 +55,7 @@
     );
   });
 
-  it('keeps nobody waiting for long where it is taken', async () => {
+  it('settles before the result if the connection is accepted', async () => {
     await withServer(
       '127.0.0.1',
       () => undefined,
@@ -67,9 +67,9 @@
     );
   });
 
-  // A process ends: its connections are closed first, what it listens on a moment later. In between a probe is taken
-  // by the kernel, and reset. The end must be seen all the same.
-  it('sees the end of a process that is still ending', async () => {
+  // A process that ends closes its connections first and its listening socket a moment later. In between, the kernel
+  // accepts and resets a probe's connection. The end must still be detected.
+  it('detects the end of a process that is still ending', async () => {
     const server = createServer((socket) => {
       socket.destroy();
       server.close();
--- a/src/transport/__tests__/unit/TransportReset.test.ts
+++ b/src/transport/__tests__/unit/TransportReset.test.ts
@@ -6,7 +6,7 @@
 
 const CLOSE_MS = 2_000;
 
-describe('a reset', () => {
+describe('resetSocket', () => {
   let server: Server;
   let port = 0;
   let peer: Socket;
@@ -29,7 +29,7 @@
     return socket;
   }
 
-  it('is what the peer sees', async () => {
+  it('resets the connection of the peer', async () => {
     const socket = await open();
     const failed = once(peer, 'error');
     resetSocket(socket);
@@ -37,8 +37,8 @@
     assert.equal(err.code, 'ECONNRESET');
   });
 
-  // Guards against: a reset in the middle of a socket's own end leaves it open, and its process never ends.
-  it('closes a socket whose own end is under way', async () => {
+  // A reset while a socket's own end is in progress would leave it open, and its process would never exit.
+  it('closes a socket whose own end is in progress', async () => {
     const socket = await open();
     peer.on('error', () => undefined).resume();
     const closed = once(socket, 'close', { signal: AbortSignal.timeout(CLOSE_MS) });
--- a/src/transport/index.ts
+++ b/src/transport/index.ts
@@ -1,4 +1,4 @@
-/** Layer `transport`: sockets, by libraries. Knows no policy. */
+/** Layer `transport`: HTTP calls and servers, links and probes, based on libraries. It contains no policy. */
 export { parseAddress, type Address } from './TransportAddress.js';
 export {
   openAgent,
