--- a/src/__tests__/utils/RankFixtures.ts
+++ b/src/__tests__/utils/RankFixtures.ts
@@ -1,4 +1,4 @@
-/** A rank's report for tests: idle, with nothing prepared, armed or held. */
+/** A rank report for tests: idle, with no map prepared or armed and no pass held. */
 import type { RankReport } from '../../protocol/index.js';
 
 export const IDLE_REPORT: RankReport = {
--- a/src/__tests__/utils/TestSnapshot.ts
+++ b/src/__tests__/utils/TestSnapshot.ts
@@ -1,13 +1,13 @@
-/** Snapshots for `node:test`, by jest-snapshot: Node 20 has none of its own. */
+/** Snapshots for `node:test` with jest-snapshot, since Node 20 has none of its own. */
 import { after } from 'node:test';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { SnapshotState, toMatchSnapshot } from 'jest-snapshot';
 
-/** Compares a value with the snapshot of that name; under CI a new one is a failure. */
+/** Compares a value with the snapshot of that name; fails if it differs or, without UPDATE_SNAPSHOTS=1, is new. */
 export type MatchSnapshot = (name: string, value: unknown) => void;
 
-/** Opens the snapshots of one test file, and saves them at its end. */
+/** Opens the snapshots of a test file, and saves them after its tests. */
 export function openSnapshots(testUrl: string): MatchSnapshot {
   const testPath = fileURLToPath(testUrl);
   const { dir, base } = path.parse(testPath);
--- a/src/cli/CliClient.ts
+++ b/src/cli/CliClient.ts
@@ -1,4 +1,4 @@
-/** Client of the administration API: any control process answers; the next is tried if one can't. */
+/** Client of the administration API. Any control process can answer; if one can't, the next is tried. */
 import { request } from 'undici';
 import * as z from 'zod';
 
@@ -10,7 +10,7 @@
   readonly body: unknown;
 }
 
-/** Thrown when no control process could be asked. */
+/** Thrown if no control process answered. */
 export class CliClientError extends Error {
   constructor(failures: readonly string[]) {
     super(`no control process answered:\n  ${failures.join('\n  ')}`);
@@ -18,7 +18,7 @@
   }
 }
 
-/** Asks the API at the first address that answers. A 503 is passed on only if all say so. */
+/** Calls the API at the first address that answers. Returns a 503 only if no later address gives another status. */
 export async function callApi(
   addresses: readonly string[],
   method: 'GET' | 'POST',
@@ -53,7 +53,7 @@
   return attempt(addresses, [], null);
 }
 
-/** Reads the setting of the API's addresses. */
+/** Parses the setting with the API's addresses. */
 export function parseAddresses(text: string | undefined): readonly string[] {
   return z
     .string({ error: 'give --api or LABURNUMGAUGE_API, ip:port[,ip:port]' })
--- a/src/cli/CliCommands.ts
+++ b/src/cli/CliCommands.ts
@@ -1,4 +1,4 @@
-/** The commands. Operators drive the system through the manifest alone; the rest only looks. */
+/** The commands. Operators change the system by manifests and quarantine releases; all other commands only read. */
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { FindingsError, formatFinding, parseManifest } from '../protocol/index.js';
@@ -14,20 +14,20 @@
   formatSubmit,
 } from './CliFormat.js';
 
-/** Exit codes: what was asked isn't so, and the input doesn't hold. */
+/** Exit codes: the command failed, or its input is invalid. */
 const EXIT_FAILED = 1;
 const EXIT_INPUT = 2;
 
 type Formatter = (body: never) => string;
 
-/** What a command's work may use. */
+/** Context that a command runs in. */
 interface CommandContext {
-  /** Its argument; empty for a command that takes none. */
+  /** The command's argument; empty if it takes none. */
   readonly argument: string;
   readonly call: (method: 'GET' | 'POST', path: string, body?: string) => Promise<ApiReply>;
   /** Prints a body as text or JSON. */
   readonly print: (body: unknown, format: Formatter) => void;
-  /** Prints an answer of the API; its result is the exit code. */
+  /** Prints an answer of the API and returns the exit code. */
   readonly finish: (reply: ApiReply, format: Formatter) => number;
 }
 
@@ -38,7 +38,7 @@
   readonly run: (ctx: CommandContext) => Promise<number>;
 }
 
-/** Reads and checks a file, so that findings have their place before anything is sent. */
+/** Reads and validates a file, so that findings are reported with their location before anything is sent. */
 async function readManifest(file: string): Promise<string> {
   const text = await readFile(file, 'utf8');
   parseManifest(text);
@@ -48,7 +48,7 @@
 const SPECS: readonly CommandSpec[] = [
   {
     path: ['manifest', 'check'],
-    description: 'Check a manifest file, here alone.',
+    description: 'Check a manifest file locally.',
     argument: 'file',
     run: async ({ argument, print }) => {
       const { fleet, version } = parseManifest(await readManifest(argument));
@@ -65,7 +65,7 @@
   },
   {
     path: ['manifest', 'submit'],
-    description: 'Submit a manifest whole. The same content gets the same answer, however often.',
+    description: 'Submit a complete manifest. Resending the same content gets the same answer.',
     argument: 'file',
     run: async ({ argument, call, finish }) =>
       finish(await call('POST', '/v1/manifests', await readManifest(argument)), formatSubmit),
@@ -79,7 +79,7 @@
   },
   {
     path: ['status'],
-    description: 'Show control processes, members and what is in force.',
+    description: 'Show control processes, members and the configuration in force.',
     run: async ({ call, finish }) => finish(await call('GET', '/v1/status'), formatStatus),
   },
   {
@@ -89,17 +89,17 @@
   },
   {
     path: ['groups'],
-    description: 'Show groups of ranks and who coordinates them.',
+    description: 'Show groups of ranks and their coordinators.',
     run: async ({ call, finish }) => finish(await call('GET', '/v1/groups'), formatGroups),
   },
   {
     path: ['quarantine', 'list'],
-    description: 'Show requests that endpoints have ended under.',
+    description: 'Show requests that endpoints crashed on.',
     run: async ({ call, finish }) => finish(await call('GET', '/v1/quarantine'), formatQuarantine),
   },
   {
     path: ['quarantine', 'release'],
-    description: 'Let a request be sent to endpoints again, by its digest.',
+    description: 'Release a request from quarantine, by its digest.',
     argument: 'digest',
     run: async ({ argument, call, finish }) =>
       finish(await call('POST', `/v1/quarantine/${argument}/release`), formatRelease),
--- a/src/cli/CliExplain.ts
+++ b/src/cli/CliExplain.ts
@@ -1,7 +1,7 @@
-/** From a request's id to its cause: joins log lines by request, host and time. Pure. */
+/** Finds the cause of a request's result by joining log lines by request, host and time. Pure functions. */
 import * as z from 'zod';
 
-/** A log line as any process writes it. */
+/** A log line of any process. */
 export type LogLine = Readonly<Record<string, unknown>> & {
   readonly time: string;
   readonly id: string;
@@ -10,23 +10,23 @@
 
 const lineSchema = z.looseObject({ time: z.string(), id: z.string(), event: z.string() });
 
-/** What is known of a request. */
+/** Log lines of a request and the conclusion drawn from them. */
 export interface Explanation {
   readonly request: string;
-  /** Lines of the request itself, in order of time. */
+  /** Lines of the request itself, ordered by time. */
   readonly lines: readonly LogLine[];
-  /** Lines of the same host or of a coordinator shortly before its end that bear on it. */
+  /** Related lines of the same host or of a coordinator shortly before the request ended. */
   readonly context: readonly LogLine[];
   readonly conclusion: string;
 }
 
-/** Lines that are older than this at its end say nothing of a request, ms. */
+/** Maximum age of context lines at the end of a request, ms. */
 const CONTEXT_MS = 3_000;
 
-/** Lines of a host or a group that may explain what became of a request. */
+/** Events of a host or a group that may explain the result of a request. */
 const CONTEXT_EVENTS = new Set(['places', 'unproven', 'map', 'group_reset', 'lease']);
 
-/** Finds the log lines in a text; what stands before a line's object, and other text, is left out. */
+/** Parses the log lines in a text; skips prefixes before a line's JSON object, and lines without one. */
 export function parseLog(text: string): readonly LogLine[] {
   return text.split('\n').flatMap((line) => {
     const start = line.indexOf('{');
@@ -37,7 +37,7 @@
       const parsed = lineSchema.safeParse(JSON.parse(line.slice(start)));
       return parsed.success ? [parsed.data] : [];
     } catch {
-      // Other text between the lines, or a line that was cut off: nothing to be learned from it.
+      // Other text between the log lines, or a truncated line.
       return [];
     }
   });
@@ -47,7 +47,7 @@
   return Date.parse(a.time) - Date.parse(b.time);
 }
 
-/** The last line of an event before a request ended. */
+/** The last line of an event, in lines ordered by time. */
 function lastOf(context: readonly LogLine[], event: string): LogLine | undefined {
   return context.filter((line) => line.event === event).at(-1);
 }
@@ -55,16 +55,16 @@
 function describeSlots(context: readonly LogLine[]): string {
   const places = lastOf(context, 'places');
   if (places === undefined) {
-    return 'no line tells the state of its group; look further back for "places" on this host';
+    return 'no line shows the state of its group; look further back for "places" on this host';
   }
   const { group, open, own, allowance, waiting, passMs, skew } = places;
-  const state = `${String(own)} of ${String(allowance)} places in use, ${String(waiting)} waiting`;
+  const state = `${String(own)} of ${String(allowance)} slots in use, ${String(waiting)} waiting`;
   if (open === false) {
-    return `group ${String(group)} answered nothing: a rank was out of reach, or it was held`;
+    return `group ${String(group)} was not running: a rank was unreachable, or it was held`;
   }
   return Number(own) < Number(allowance)
-    ? `group ${String(group)} still had places in its last line (${state}); what changed since is in none: ` +
-        'look for a rank whose "attempt" lines blame another, or whose host was cut off just before'
+    ? `group ${String(group)} still had free slots in its last "places" line (${state}); no line shows a later ` +
+        'change: look for a rank whose "attempt" lines blame another, or whose host was cut off just before'
     : `group ${String(group)} was full for this host: ${state}, passes of ${String(passMs)} ms, ` +
         `skew ${String(skew)}`;
 }
@@ -72,7 +72,7 @@
 function describePasses(context: readonly LogLine[]): string {
   const places = lastOf(context, 'places');
   return places === undefined
-    ? 'no line tells of passes'
+    ? 'no line shows its passes'
     : `passes of ${String(places.passMs)} ms, skew ${String(places.skew)} shortly before`;
 }
 
@@ -90,36 +90,36 @@
         `"${String(attempt.verdict)}"`;
 }
 
-/** Why a request was not sent again, where it is held. */
+/** Why a quarantined request was not sent again; empty if it isn't quarantined. */
 function describeQuarantine(lines: readonly LogLine[]): string {
   const held = lastOf(lines, 'held');
   return held === undefined
     ? ''
-    : `; sent to no other, for ${String(held.ends)} endpoints have ended under it ` +
+    : `; not sent to another endpoint, since ${String(held.ends)} endpoints have crashed on it ` +
         `(look for "endpoint_ended" lines with ${String(held.digest)})`;
 }
 
-/** What a request was told of endpoints that take nothing now; null where it was sent at once. */
+/** Why no endpoint had a send slot for a request in time; null unless its last "turn" line says so. */
 function describeSendSlot(lines: readonly LogLine[]): string | null {
   const turn = lastOf(lines, 'turn');
   return turn?.endpoint !== null
     ? null
-    : `no endpoint of its service takes a request within ${String(turn.waitMs)} ms: they have named limits, or ` +
-        'want rest (look for "limit" and "rest" lines of this host)';
+    : `no endpoint of its service accepts a request within ${String(turn.waitMs)} ms: they have rate limits, or ` +
+        'asked for a backoff (look for "limit" and "rest" lines of this host)';
 }
 
-/** Says so where an answer's head was written neither for the endpoint nor for an error of this process. */
+/** States if an answer's head came from the HTTP library instead of the endpoint or an error of this process. */
 function describeHead({ status, headOf }: LogLine): string {
   return headOf === 'library'
     ? `; its head, with status ${String(status)}, is neither the endpoint's nor an error of this host`
     : '';
 }
 
-/** What an outcome means, by its name in the log. */
+/** Describes the outcome of a request, by its name in the log. */
 const DESCRIBERS: Readonly<Record<string, Describer>> = {
   refused: ({ attempts }, lines, context) =>
     attempts === 0
-      ? `refused and never sent: ${describeSendSlot(lines) ?? describeSlots(context)}`
+      ? `refused without being sent: ${describeSendSlot(lines) ?? describeSlots(context)}`
       : `refused after ${String(attempts)} attempts that were not run: ${lastAttempt(lines)}`,
   quarantined: (_answer, lines) => `refused and not run${describeQuarantine(lines)}`,
   cut: (_answer, lines) =>
@@ -128,12 +128,12 @@
     `failed, and may have run: ${lastAttempt(lines)}${describeQuarantine(lines)}`,
   passed: (_answer, lines) => `the endpoint's own failure was passed on: ${lastAttempt(lines)}`,
   timeout: (_answer, lines, context) =>
-    `no whole answer by its deadline: ${lastAttempt(lines)}; ${describeSlots(context)}`,
-  callerGone: () => 'its caller left before the answer was whole',
+    `no complete answer by its deadline: ${lastAttempt(lines)}; ${describeSlots(context)}`,
+  callerGone: () => 'its caller disconnected before the answer was complete',
   whole: (answer, lines, context) => {
     const { firstMs, pauseMs, attempts } = answer;
     return (
-      `answered whole, the first byte after ${String(firstMs)} ms, the longest pause ${String(pauseMs)} ms, ` +
+      `answered completely, first byte after ${String(firstMs)} ms, longest pause ${String(pauseMs)} ms, ` +
       `${String(attempts)} attempt(s)${attempts === 1 ? '' : ` (${lastAttempt(lines)})`}; ` +
       `${describePasses(context)}${describeHead(answer)}`
     );
@@ -143,13 +143,13 @@
 function conclude(lines: readonly LogLine[], context: readonly LogLine[]): string {
   const refusal = lastOf(lines, 'refuse');
   if (refusal !== undefined) {
-    return `refused as it was read: ${String(refusal.code)}, ${String(refusal.reason)}`;
+    return `refused when it was read: ${String(refusal.code)}, ${String(refusal.reason)}`;
   }
   const answer = lastOf(lines, 'answer');
   if (answer === undefined) {
     return lines.length === 0
-      ? 'no line has this id: it reached no process whose log was given'
-      : 'it has no end: its process was killed, or the log ends before it';
+      ? 'no line has this id: it reached no process whose log was read'
+      : 'no line shows its end: its process was killed, or the log stops before';
   }
   const describe = DESCRIBERS[String(answer.outcome)];
   return describe === undefined
@@ -157,7 +157,7 @@
     : describe(answer, lines, context);
 }
 
-/** Joins what the log tells of a request. */
+/** Collects the log lines of a request and concludes the cause of its result. */
 export function explainRequest(request: string, log: readonly LogLine[]): Explanation {
   const lines = log.filter((line) => line.request === request).sort(byTime);
   const hosts = new Set(lines.map(({ id }) => id));
@@ -172,7 +172,7 @@
   return { request, lines, context, conclusion: conclude(lines, context) };
 }
 
-/** Fields that each line of a listing leaves out: they stand before it, or say nothing. */
+/** Fields that a line of the listing omits: they are printed before the others, or aren't informative. */
 const OMITTED_FIELDS = new Set(['time', 'id', 'event', 'level', 'msg', 'role', 'request']);
 
 function formatLine(line: LogLine): string {
@@ -182,7 +182,7 @@
   return `${line.time}  ${line.id}  ${line.event}  ${fields.join(' ')}`;
 }
 
-/** An explanation as text for people. */
+/** Formats an explanation as text. */
 export function formatExplanation({ request, lines, context, conclusion }: Explanation): string {
   return [
     `request ${request}`,
--- a/src/cli/CliExplainCommand.ts
+++ b/src/cli/CliExplainCommand.ts
@@ -1,9 +1,9 @@
-/** `laburnumgauge explain REQUEST [FILE…]`: from a request's id to its cause, by logs alone. */
+/** `laburnumgauge explain REQUEST [FILE…]`: finds the cause of a request's result in logs. */
 import { Command, Option } from 'clipanion';
 import { explainRequest, formatExplanation, type LogLine } from './CliExplain.js';
 import { readLogFiles } from './CliLogFiles.js';
 
-/** Exit code where no line has the id. */
+/** Exit code if no line has the id. */
 const EXIT_UNKNOWN = 1;
 const EXIT_INPUT = 2;
 
@@ -11,7 +11,7 @@
   static override paths = [['explain']];
 
   static override usage = Command.Usage({
-    description: 'Tell what became of a request, and why, from log files or standard input.',
+    description: 'Explain the result of a request, from log files or standard input.',
     examples: [['from files', 'laburnumgauge explain 39a5dde180d777f3 *.log']],
   });
 
--- a/src/cli/CliFormat.ts
+++ b/src/cli/CliFormat.ts
@@ -1,8 +1,8 @@
-/** Answers of the administration API as text for people. */
+/** Formats answers of the administration API as text. */
 
 type Row = Readonly<Record<string, unknown>>;
 
-/** Lays rows out in columns. */
+/** Formats rows in columns. */
 function table(columns: readonly string[], rows: readonly Row[]): string {
   const cells = rows.map((row) => columns.map((column) => String(row[column] ?? '-')));
   const widths = columns.map((column, i) =>
@@ -27,7 +27,7 @@
   readonly live: number;
 }
 
-/** Status of the whole. */
+/** Formats the status of the whole system. */
 export function formatStatus(body: StatusBody): string {
   const controls = body.controls.map((row) => ({ ...row, attached: row.attached.length }));
   return [
@@ -45,7 +45,7 @@
   readonly offer?: Row;
 }
 
-/** Endpoints, with what they offer. */
+/** Formats endpoints with their offers. */
 export function formatEndpoints(body: { readonly endpoints: readonly EndpointRow[] }): string {
   const rows = body.endpoints.map(({ offer, ...row }) => ({ ...row, ...offer }));
   return table(['id', 'zone', 'address', 'status', 'fleet', 'service', 'slots', 'group'], rows);
@@ -55,7 +55,7 @@
   readonly endpoints: readonly { readonly id: string; readonly ranks: readonly number[] }[];
 }
 
-/** Groups of ranks. */
+/** Formats groups of ranks. */
 export function formatGroups(body: { readonly groups: readonly GroupRow[] }): string {
   const rows = body.groups.map((row) => ({
     ...row,
@@ -77,7 +77,7 @@
   }[];
 }
 
-/** What a submission would change. */
+/** Formats the changes that a submission would make. */
 export function formatDiff(body: DiffBody): string {
   const verdict = typeof body.verdict === 'string' ? body.verdict : JSON.stringify(body.verdict);
   const lines = body.changes.map(
@@ -87,14 +87,14 @@
   return [`${body.fleet} version ${body.version}: ${verdict}`, ...lines].join('\n');
 }
 
-/** What became of a submission. */
+/** Formats the result of a submission. */
 export function formatSubmit(body: Row): string {
   const { result, fleet, version, ...rest } = body;
   const details = Object.entries(rest).map(([key, value]) => `${key}=${String(value)}`);
   return `${String(result)}: ${String(fleet ?? '')} ${String(version ?? '')} ${details.join(' ')}`;
 }
 
-/** The accepted manifest of a fleet. */
+/** Formats the accepted manifest of a fleet. */
 export function formatManifest(body: Row & { readonly entries: Row }): string {
   const entries = Object.entries(body.entries).map(
     ([key, value]) => `${key}: ${JSON.stringify(value)}`,
@@ -105,7 +105,7 @@
   ].join('\n');
 }
 
-/** Requests that endpoints have ended under. */
+/** Formats requests that endpoints crashed on. */
 export function formatQuarantine(body: {
   readonly requests: readonly (Row & { readonly lives: readonly string[] })[];
 }): string {
@@ -113,7 +113,7 @@
   return table(['digest', 'customer', 'ends', 'forgottenInS', 'lives'], rows);
 }
 
-/** A request that was released. */
+/** Formats the release of a request. */
 export function formatRelease({ digest }: Row): string {
-  return `${String(digest)}: nothing is held against it any more`;
+  return `${String(digest)}: released from quarantine`;
 }
--- a/src/cli/CliLogFiles.ts
+++ b/src/cli/CliLogFiles.ts
@@ -1,10 +1,10 @@
-/** Log files as the commands that read them are given: by name, or on standard input. */
+/** Reads the logs given to a command, by file name or on standard input. */
 import { readFile } from 'node:fs/promises';
 import type { Readable } from 'node:stream';
 import { text } from 'node:stream/consumers';
 import { parseLog, type LogLine } from './CliExplain.js';
 
-/** Reads all lines of some files, or of standard input where none is named. Rejects if a file can't be read. */
+/** Reads all log lines of some files, or of standard input if there are none. Rejects if a file can't be read. */
 export async function readLogFiles(
   files: readonly string[],
   stdin: Readable,
--- a/src/cli/CliLoss.ts
+++ b/src/cli/CliLoss.ts
@@ -1,7 +1,7 @@
-/** Splits what a period of traffic has lost by cause, from the log lines of its entry processes. Pure. */
+/** Attributes late and missing answers to causes, from the log lines of entry processes. Pure functions. */
 import type { LogLine } from './CliExplain.js';
 
-/** Why a request was answered late, or not at all. */
+/** Cause of a late or missing answer. */
 export type LossCause =
   | 'configuration not proven'
   | 'host about to end'
@@ -21,19 +21,19 @@
   | 'pause too long'
   | 'first event late';
 
-/** Loss of one cause, in whole answers: a request not answered counts 1, one answered late {@link LATE_LOSS}. */
+/** Loss by cause, in answers: an unanswered request counts as 1, a late answer as {@link LATE_LOSS}. */
 export type LossParts = Readonly<Partial<Record<LossCause, number>>>;
 
-/** What one window of time has lost. */
+/** Loss of one time window. */
 export interface LossWindow {
-  /** Begin, s after the first line of the log. */
+  /** Start, in seconds after the first line of the log. */
   readonly fromS: number;
   readonly requests: number;
   readonly lost: number;
   readonly parts: LossParts;
 }
 
-/** What a log tells of losses; the parts add up to `lost`. */
+/** Losses found in a log; the parts add up to `lost`. */
 export interface LossReport {
   readonly requests: number;
   readonly lost: number;
@@ -41,18 +41,18 @@
   readonly windows: readonly LossWindow[];
 }
 
-/** A late answer is worth about half of one on time. */
+/** Loss of a late answer, which is worth about half of one on time. */
 export const LATE_LOSS = 0.5;
 
-/** Above this skew a long pass is put down to the map. */
+/** Above this skew a long pause is attributed to the expert map. */
 const MAX_EVEN_SKEW = 1.5;
 
-/** A request that has ended, with the last word on its host's group before. */
+/** A request that has ended, with the last preceding "places" line of its host. */
 interface EndedRequest {
   readonly line: LogLine;
   readonly places: LogLine | undefined;
   readonly attempt: LogLine | undefined;
-  /** Its last turn at an endpoint that took nothing. */
+  /** Its last "turn" line: it had to wait for a send slot, or got none (`endpoint` null). */
   readonly turn: LogLine | undefined;
 }
 
@@ -102,7 +102,7 @@
   return () => ({ cause, lost: 1 });
 }
 
-/** What each outcome of an answered request has lost. */
+/** Loss rules by outcome of an answered request. */
 const LOSS_RULES: Readonly<Record<string, LossRule>> = {
   whole: lossOfCompleteAnswer,
   refused: (ended) => ({ cause: causeOfRefusal(ended), lost: 1 }),
@@ -114,7 +114,7 @@
   callerGone: fullLoss('caller left'),
 };
 
-/** What a refusal at reading has lost, by its code; others are the caller's own mistake and owed to nobody. */
+/** Causes of refusals when reading a request, by error code; with other codes the caller is at fault. */
 const REFUSALS: Readonly<Record<string, LossCause>> = {
   not_ready: 'configuration not proven',
   leaving: 'host about to end',
@@ -129,7 +129,7 @@
   return LOSS_RULES[String(line.outcome)]?.(ended) ?? null;
 }
 
-/** The requests that ended in a log, each with what its host knew then. */
+/** The requests that ended in a log, each with the related lines before. */
 function collectEnded(log: readonly LogLine[]): readonly EndedRequest[] {
   const places = new Map<string, LogLine>();
   const attempts = new Map<unknown, LogLine>();
@@ -167,7 +167,7 @@
   return { requests: losses.length, lost, parts };
 }
 
-/** Splits the loss of all requests that end in a log, over all of it and by windows of `windowS` seconds. */
+/** Splits the loss of all requests that end in a log by cause, in total and per window of `windowS` seconds. */
 export function splitLoss(log: readonly LogLine[], windowS: number): LossReport {
   const ended = collectEnded(log);
   const start = Math.min(...log.map(({ time }) => Date.parse(time)));
@@ -191,7 +191,7 @@
     .join(', ');
 }
 
-/** A report as text for people: the causes first, then each window that lost something. */
+/** Formats a report as text: first the causes, then each window with a loss. */
 export function formatLoss({ requests, lost, parts, windows }: LossReport): string {
   const share = requests === 0 ? 0 : (lost * 100) / requests;
   const causes = Object.entries(parts).sort(([, a], [, b]) => b - a);
--- a/src/cli/CliLossCommand.ts
+++ b/src/cli/CliLossCommand.ts
@@ -1,10 +1,10 @@
-/** `laburnumgauge loss [FILE…]`: what a period of traffic has lost, by cause, from logs alone. */
+/** `laburnumgauge loss [FILE…]`: attributes late and missing answers to causes, from logs. */
 import { Command, Option } from 'clipanion';
 import type { LogLine } from './CliExplain.js';
 import { readLogFiles } from './CliLogFiles.js';
 import { formatLoss, splitLoss } from './CliLoss.js';
 
-/** Exit code where no request ends in what was read. */
+/** Exit code if no request ends in the logs. */
 const EXIT_EMPTY = 1;
 const EXIT_INPUT = 2;
 
@@ -14,15 +14,14 @@
   static override paths = [['loss']];
 
   static override usage = Command.Usage({
-    description:
-      'Split what was answered late or not at all by cause, from log files or standard input.',
+    description: 'Attribute late and missing answers to causes, from log files or standard input.',
     examples: [['by windows of ten seconds', 'laburnumgauge loss --window 10 edge-*.log']],
   });
 
   readonly json = Option.Boolean('--json', false, { description: 'Print the report as JSON' });
 
   readonly window = Option.String('--window', String(DEFAULT_WINDOW_S), {
-    description: 'Seconds of a window',
+    description: 'Length of a window in seconds',
   });
 
   readonly files = Option.Rest({ name: 'file' });
@@ -30,7 +29,7 @@
   async execute(): Promise<number> {
     const windowS = Number(this.window);
     if (!(windowS > 0)) {
-      this.context.stderr.write(`--window: "${this.window}" is no number of seconds above 0\n`);
+      this.context.stderr.write(`--window: "${this.window}" is not a positive number of seconds\n`);
       return EXIT_INPUT;
     }
     let log: readonly LogLine[];
--- a/src/cli/CliMain.ts
+++ b/src/cli/CliMain.ts
@@ -1,4 +1,4 @@
-/** `laburnumgauge`: the operators' command line; it speaks to the administration API, or reads logs. */
+/** `laburnumgauge`: the operators' command line, which calls the administration API or reads logs. */
 import { Builtins, Cli } from 'clipanion';
 import { COMMANDS } from './CliCommands.js';
 import { ExplainCommand } from './CliExplainCommand.js';
--- a/src/cli/__tests__/unit/CliLoss.test.ts
+++ b/src/cli/__tests__/unit/CliLoss.test.ts
@@ -6,7 +6,7 @@
 
 const matchSnapshot = openSnapshots(import.meta.url);
 
-/** A line of an entry process's log, as a collector keeps it. */
+/** A log line of an entry process, as stored by a collector. */
 function line(ms: number, event: string, fields: object): string {
   const time = new Date(1_790_000_000_000 + ms).toISOString();
   return `edge-1 ${JSON.stringify({ level: 30, time, id: 'edge-1', role: 'entry', event, ...fields })}`;
@@ -21,7 +21,7 @@
 
 const REFUSED = { outcome: 'refused', attempts: 0, firstMs: null };
 
-/** A group that is even, behind the demand, down, and full; then a process that has just started. */
+/** A group that is balanced, then skewed, down and full; then a process that has just started. */
 const LOG = [
   line(0, 'places', { open: true, own: 3, allowance: 8, skew: 1.1 }),
   answer(100, 'a', {}),
@@ -48,11 +48,11 @@
 ].join('\n');
 
 describe('splitLoss', () => {
-  it('puts each request that was late or unanswered down to one cause', () => {
+  it('attributes each late or unanswered request to one cause', () => {
     matchSnapshot('loss by cause', formatLoss(splitLoss(parseLog(LOG), 2)));
   });
 
-  it('adds up to the whole loss, over all and in each window', () => {
+  it('has parts that add up to the loss, in total and in each window', () => {
     const report = splitLoss(parseLog(LOG), 2);
     [report, ...report.windows].forEach(({ lost, parts }) => {
       assert.equal(
@@ -66,7 +66,7 @@
     );
   });
 
-  it('says that nothing was asked where the log is empty', () => {
+  it('reports no requests for an empty log', () => {
     assert.deepEqual(splitLoss([], 2), { requests: 0, lost: 0, parts: {}, windows: [] });
   });
 });
--- a/src/transport/TransportLink.ts
+++ b/src/transport/TransportLink.ts
@@ -114,7 +114,7 @@
     return this.#lastReceivedAt;
   }
 
-  /** Whether anything was received yet; an open connection doesn't imply that, since a frozen host's kernel accepts it. */
+  /** Whether anything was received yet; a frozen host's kernel accepts connections, but nothing is received. */
   get hasReceived(): boolean {
     return this.#lastReceivedAt > this.#openedAt;
   }
