--- a/src/transport/TransportProbe.ts
+++ b/src/transport/TransportProbe.ts
@@ -36,8 +36,8 @@
   readonly settled: Promise<void>;
 }
 
-/** Tries one connection; `onTaken` is called if it is still open after {@link ACCEPTED_MS}. */
-async function tryOnce({ host, port }: Address, onTaken: () => void): Promise<ProbeResult> {
+/** Tries one connection; `onAccepted` is called if it is still open after {@link ACCEPTED_MS}. */
+async function tryOnce({ host, port }: Address, onAccepted: () => void): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect({ host, port });
     const timers: NodeJS.Timeout[] = [];
@@ -49,7 +49,7 @@
     timers.push(setTimeout(() => end('unknown'), CONNECT_TIMEOUT_MS));
     socket.once('connect', () => {
       timers.forEach((timer) => clearTimeout(timer));
-      timers.push(setTimeout(onTaken, ACCEPTED_MS));
+      timers.push(setTimeout(onAccepted, ACCEPTED_MS));
       timers.push(setTimeout(() => end('open'), KEPT_OPEN_MS));
     });
     socket.once('close', () => end('unknown'));
