--- a/src/daemon/DaemonControlPeers.ts
+++ b/src/daemon/DaemonControlPeers.ts
@@ -126,7 +126,7 @@
 
   /** When a replica's host was last heard from over the link to it, ms; undefined if there is no client for it. */
   heardAt(replica: string): number | undefined {
-    return this.#clients.get(replicaName(replica))?.heardAt;
+    return this.#clients.get(replicaName(replica))?.lastReceivedAt;
   }
 
   /** Sends changed member records to all peers. */
--- a/src/transport/TransportLinkClient.ts
+++ b/src/transport/TransportLinkClient.ts
@@ -15,7 +15,7 @@
 import { raceForLink } from './TransportLinkSearch.js';
 
 /** Base of the pause between attempts, ms: hosts that lost power together are back within tenths of a second. */
-const INITIAL_BACKOFF_MS = 50;
+const BASE_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
 /** Interval at which a client that isn't linked to the first target tries to return to it, ms. */
@@ -93,7 +93,7 @@
   }
 
   /** When something was last received on the current or an earlier link, ms on the local monotonic clock. */
-  get heardAt(): number {
+  get lastReceivedAt(): number {
     return this.#link?.hasReceived === true ? this.#link.lastReceivedAt : this.#lastReceivedEarlier;
   }
 
@@ -155,7 +155,7 @@
       await this.#serveLink(link);
       // A target whose link timed out is probably still unreachable; connecting to it first would block.
       failures = link === null || link.hasTimedOut ? failures + 1 : 0;
-      const pause = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** failures);
+      const pause = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** failures);
       if (this.#replacement === null) {
         // eslint-disable-next-line no-await-in-loop
         await delay(pause * (0.5 + jitter()), undefined, { signal }).catch(() => undefined);
--- a/src/transport/__tests__/unit/TransportLinkClient.test.ts
+++ b/src/transport/__tests__/unit/TransportLinkClient.test.ts
@@ -344,9 +344,9 @@
       links += 1;
       setTimeout(() => link.close(), 20);
     });
-    const madeAt = client.heardAt;
+    const madeAt = client.lastReceivedAt;
     await waitFor(() => links > 2);
-    assert.equal(client.heardAt, madeAt);
+    assert.equal(client.lastReceivedAt, madeAt);
     stop.abort();
   });
 
