--- a/src/protocol/ProtocolRoutes.ts
+++ b/src/protocol/ProtocolRoutes.ts
@@ -109,7 +109,7 @@
 export interface RankReport {
   /** Name of the group; null for an engine in no group. */
   readonly group: string | null;
-  /** Increases each time the group forms anew, which discards all maps and orders. */
+  /** Increases each time the group is formed again, which discards all maps and orders. */
   readonly epoch: number;
   readonly rank: number;
   readonly ranks: number;
--- a/src/state/StateDataFolder.ts
+++ b/src/state/StateDataFolder.ts
@@ -1,6 +1,6 @@
 /**
  * The data folder of a control process: its identity and one append-only journal. Callers must not
- * act on records before `append` has resolved, since only then they are synced to disk.
+ * act on records before `append` has resolved, since they aren't synced to disk until then.
  */
 import { randomUUID } from 'node:crypto';
 import { mkdir, open, readFile, rename, type FileHandle } from 'node:fs/promises';
--- a/src/transport/TransportCall.ts
+++ b/src/transport/TransportCall.ts
@@ -58,7 +58,7 @@
  *
  * If a caller disconnects while its request is being sent to a frozen host, an orderly close would still deliver what
  * the kernel has buffered, and the host would run the request for nobody once it resumes. A reset discards what wasn't
- * delivered, and ends what was at once.
+ * delivered, and shows a host that has read the request that its caller is gone.
  *
  * Node's reset drops the error. Without it, the client library takes the end of the socket for the end of the aborted
  * answer and throws an uncaught exception; therefore the error is passed on here.
--- a/src/transport/TransportLinkClient.ts
+++ b/src/transport/TransportLinkClient.ts
@@ -30,7 +30,7 @@
   /** Target of the current link. */
   readonly from: string;
   readonly targets: readonly string[];
-  /** Target of the new link; null if there is none. */
+  /** Target of the link that was found; null if none was. */
   readonly found: string | null;
   /** Whether the search was stopped early. */
   readonly stopped: boolean;
--- a/src/transport/TransportLinkTimeoutError.ts
+++ b/src/transport/TransportLinkTimeoutError.ts
@@ -1,8 +1,8 @@
 /**
  * A request got no answer in time: the peer is frozen, unreachable or slow.
  *
- * The request's timer causes this error, so callers need not compare clocks. Timers fire up to a millisecond early; by
- * such a comparison, one unresponsive peer in four was taken for one that had refused.
+ * The request's timer raises this error, so that callers need not compare clocks to detect a timeout. Timers fire up to
+ * a millisecond early, so with such a comparison one unresponsive peer in four was taken for one that had refused.
  */
 export class LinkTimeoutError extends Error {
   constructor(method: string, timeoutMs: number) {
--- a/src/transport/TransportProbe.ts
+++ b/src/transport/TransportProbe.ts
@@ -68,17 +68,17 @@
  * reset, which gives no result, and the crash would be attributed to no request. Therefore the probe is repeated until
  * the process must have ended.
  */
-async function probe(address: Address, onTaken: () => void): Promise<ProbeResult> {
+async function probe(address: Address, onAccepted: () => void): Promise<ProbeResult> {
   for (let left = MAX_TRIES; left > 1; left -= 1) {
     // eslint-disable-next-line no-await-in-loop
-    const found = await tryOnce(address, onTaken);
+    const found = await tryOnce(address, onAccepted);
     if (found !== 'unknown') {
       return found;
     }
     // eslint-disable-next-line no-await-in-loop
     await delay(RETRY_PAUSE_MS);
   }
-  return tryOnce(address, onTaken);
+  return tryOnce(address, onAccepted);
 }
 
 /** Starts a probe of an address. */
--- a/src/transport/__tests__/unit/TransportCall.test.ts
+++ b/src/transport/__tests__/unit/TransportCall.test.ts
@@ -125,7 +125,7 @@
 
   // A caller disconnects while its request is being sent to a frozen host. After an orderly close, the kernel
   // would go on delivering the request, and the host would run it for nobody once it resumes. A reset discards
-  // what wasn't delivered, and closes the connection of what was.
+  // what wasn't delivered, and a host that has read the request sees that its caller is gone.
   [200, 60_000, 500_000, 4_000_000].forEach((bodyBytes) => {
     it(`resets the connection of an aborted request of ${bodyBytes} bytes to a frozen host`, async () => {
       assert.match(await abortAtStoppedServer(bodyBytes), /^reset /);
