--- a/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
+++ b/src/protocol/__tests__/unit/ProtocolRequestDigest.test.ts
@@ -20,7 +20,7 @@
 };
 
 describe('digestRequest and isSameRequest', () => {
-  it('ignores the case of the host', () => {
+  it('is the same for the same request, ignoring the case of the host', () => {
     const again = { ...REQUEST, host: 'Desk.Example', body: Buffer.from('body') };
     assert.equal(digestRequest(again), digestRequest(REQUEST));
     assert.ok(isSameRequest(again, REQUEST));
