--- a/soak/SoakAnswerChecks.ts
+++ b/soak/SoakAnswerChecks.ts
@@ -1,5 +1,5 @@
 /** Whose answers callers got, and whether they are whole. Pure. */
-import { engineOfSeal, failureBody } from '../platform/__tests__/utils/StandInOddities.js';
+import { engineOfSeal, failureBody } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import { isDisturbed } from './SoakDisturbed.js';
 import { eventsOf, STREAM_EVENTS, wholeBody } from './SoakStream.js';
 import type { SoakAttempt, SoakFinding, SoakRecord, SoakRun } from './SoakTypes.js';
--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -1,6 +1,6 @@
 /** Callers of a soak run: they keep connections until the process at the other end is gone, and come back. */
 import { setTimeout as delay } from 'node:timers/promises';
-import { readHead } from '../platform/__tests__/utils/StandInOddities.js';
+import { readHead } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import { callerHeaders } from '../platform/__tests__/utils/StandInPlatform.js';
 import { SoakConnection } from './SoakConnection.js';
 import { eventsOf, STREAM_EVENTS } from './SoakStream.js';
--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -10,7 +10,7 @@
 import { ENGINE_PORT, type StandInPlatform } from '../platform/__tests__/utils/StandInPlatform.js';
 import { StandInGroup } from '../platform/__tests__/utils/StandInGroup.js';
 import { StandInRank } from '../platform/__tests__/utils/StandInRank.js';
-import { BACK_AFTER_MS, FATAL_BODY } from '../platform/__tests__/utils/StandInFleet.js';
+import { RESTART_DELAY_MS, FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
 import type { SoakOddity } from './SoakOddities.js';
 import { STREAM_EVENTS } from './SoakStream.js';
 import type { SoakEngineEnd } from './SoakTypes.js';
@@ -85,7 +85,7 @@
       return null;
     }
     engine.state = 'draining';
-    const acked = await engine.beatOnce(this.#platform.controls);
+    const acked = await engine.sendHeartbeatOnce(this.#platform.controls);
     return acked ? { engine: engine.id, ackedAt: now() } : null;
   }
 
@@ -120,9 +120,9 @@
       if (oddity === 'extra' || oddity === 'resetUnframed') {
         Object.assign(behaviour, { [oddity]: isOn });
       } else if (isOn) {
-        behaviour.odd.add(oddity);
+        behaviour.unusual.add(oddity);
       } else {
-        behaviour.odd.delete(oddity);
+        behaviour.unusual.delete(oddity);
       }
     });
   }
@@ -151,7 +151,7 @@
   async #comeBack(n: number, ended: StandInEngine): Promise<void> {
     await this.#setGone(n, true);
     this.group.lockstep.reform();
-    await delay(BACK_AFTER_MS);
+    await delay(RESTART_DELAY_MS);
     if (this.#engines.get(n) === ended && !this.#isStopped) {
       await this.#startOne(n);
     }
@@ -167,7 +167,7 @@
     Object.assign(engine.behaviour, {
       events: STREAM_EVENTS,
       pauseMs: EVENT_MS,
-      fatal: FATAL_BODY,
+      fatal: FATAL_PREFIX,
     });
     engine.onRefusal = (refusal) => this.refusals.push(refusal);
     engine.onAnswer = (answer) => this.answers.push(answer);
--- a/soak/SoakFaults.ts
+++ b/soak/SoakFaults.ts
@@ -88,7 +88,7 @@
   controlWipe: async ({ fault: { target, forMs }, platform, alone }) =>
     alone(CONTROLS, async () => {
       await platform.signal(target, 'SIGKILL');
-      await platform.wipe(numberOf(target));
+      await platform.wipeData(numberOf(target));
       await delay(forMs);
       await platform.restart(target);
       await delay(3_000);
--- a/soak/SoakNeeds.ts
+++ b/soak/SoakNeeds.ts
@@ -2,9 +2,9 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
-  allowedInWindow,
-  LIMIT_KNOWN_MS,
-  mostInWindow,
+  maxAllowedInWindow,
+  LIMIT_PROPAGATION_MS,
+  maxArrivalsInWindow,
 } from '../platform/__tests__/utils/StandInLimits.js';
 import { isOddity } from './SoakOddities.js';
 import type { SoakShape } from './SoakSchedule.js';
@@ -115,9 +115,11 @@
 const limitKept: NeedCheck = (record, need) => {
   const named = record.runs.filter(({ engine, at }) => engine === need.engine && at >= need.from);
   const firstNamed = Math.min(...named.map(({ at }) => at));
-  const known = toldArrivals(record, need).filter(({ at }) => at >= firstNamed + LIMIT_KNOWN_MS);
-  const most = mostInWindow(known.map(({ at }) => at));
-  return most > allowedInWindow(need.perSecond)
+  const known = toldArrivals(record, need).filter(
+    ({ at }) => at >= firstNamed + LIMIT_PROPAGATION_MS,
+  );
+  const most = maxArrivalsInWindow(known.map(({ at }) => at));
+  return most > maxAllowedInWindow(need.perSecond)
     ? [finding('a limit is kept', `${most} in 4 s at ${need.engine}, ${need.perSecond} a second`)]
     : [];
 };
--- a/soak/SoakOddities.ts
+++ b/soak/SoakOddities.ts
@@ -1,11 +1,11 @@
 /** Unusual answers of engines in a soak run: which, when, and beside what. Pure. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { StandInOddity } from '../platform/__tests__/utils/StandInOddities.js';
+import type { StandInUnusualAnswer } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import type { SoakFault, SoakShape } from './SoakSchedule.js';
 
 /** Kinds of unusual answers: second ones at once, resets without a length, and all of the stand-in's own. */
-export type SoakOddity = StandInOddity | 'extra' | 'resetUnframed';
+export type SoakOddity = StandInUnusualAnswer | 'extra' | 'resetUnframed';
 
 export const ODDITIES = [
   'extra',
--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -1,6 +1,6 @@
 /** The operator of a soak run: submits documents with changing keys, and keeps what was acknowledged. */
 import {
-  replace,
+  postDocument,
   sampleDocument,
   type StandInPlatform,
 } from '../platform/__tests__/utils/StandInPlatform.js';
@@ -90,7 +90,7 @@
     for (let i = version; ; i += 1) {
       const control = controls[i % controls.length] ?? '';
       // eslint-disable-next-line no-await-in-loop
-      const status = await replace(control, text).catch(() => 0);
+      const status = await postDocument(control, text).catch(() => 0);
       if (status === 200) {
         this.#acked = version;
         return this.#now();
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -6,9 +6,9 @@
   ENGINE_PORT,
   readVersion,
   StandInPlatform,
-  until,
+  waitUntil,
 } from '../platform/__tests__/utils/StandInPlatform.js';
-import { FATAL_BODY } from '../platform/__tests__/utils/StandInFleet.js';
+import { FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
 import { SoakCallers } from './SoakCallers.js';
 import { checkRecord } from './SoakChecks.js';
 import { SoakEngines } from './SoakEngines.js';
@@ -149,7 +149,7 @@
     const { seed, callers, entries } = this.#options;
     await this.#engines.start();
     await this.#operator.configure();
-    await until('entry hosts are ready', async () => this.#platform.areReady(), 30_000);
+    await waitUntil('entry hosts are ready', async () => this.#platform.areReady(), 30_000);
     const rng = xoroshiro128plus(seed);
     const stop = new AbortController();
     const load = new SoakCallers({
@@ -200,7 +200,7 @@
       refusals: this.#engines.refusals,
       events: this.#events,
       engineEnds: this.#engines.ends,
-      fatalRuns: this.#engines.seen.filter(({ body }) => body.startsWith(FATAL_BODY)),
+      fatalRuns: this.#engines.seen.filter(({ body }) => body.startsWith(FATAL_PREFIX)),
       mixedPasses: lockstep.mixed,
       acked: this.#operator.acked,
       readBack,
@@ -256,7 +256,7 @@
   /** Waits until the system serves, after everything that was done to it is undone. */
   async #recover(): Promise<void> {
     this.#platform.names.forEach((name) => this.#proxy.setMode(name, 'pass'));
-    await until(
+    await waitUntil(
       'entry hosts are ready again',
       async () => this.#platform.areReady(),
       RECOVER_MS,
@@ -267,7 +267,7 @@
     return Promise.all(
       this.#platform.controls.map(async (control) => {
         let version: number | null = null;
-        await until(
+        await waitUntil(
           'the newest is read back',
           async () => {
             version = await readVersion(control);
@@ -283,7 +283,7 @@
   /** Notes processes that have ended though nobody ended them. */
   #watchEnds(): void {
     this.#platform.names.forEach((name) => {
-      const end = this.#platform.endOf(name);
+      const end = this.#platform.exitOf(name);
       if (end !== null && !this.#busy.has(name)) {
         this.#busy.add(name);
         this.#ownEnds.push(`${name} ended by itself (${end})`);
--- a/soak/SoakSchedule.ts
+++ b/soak/SoakSchedule.ts
@@ -1,7 +1,7 @@
 /** What is done to the system in one run, by its seed. Pure. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { FATAL_BODY } from '../platform/__tests__/utils/StandInFleet.js';
+import { FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
 import type { SoakOddity } from './SoakOddities.js';
 
 /** Kinds of disturbances; the name says what is done, and to which kind of host. */
@@ -140,7 +140,7 @@
 export function planFatal(seed: number, { lengthMs }: SoakShape): readonly SoakFatalRequest[] {
   const rng = xoroshiro128plus(seed);
   return Array.from({ length: FATAL_REQUESTS }, (_item, i) => ({
-    body: `${FATAL_BODY} ${i + 1}`,
+    body: `${FATAL_PREFIX} ${i + 1}`,
     at: Math.round((uniformFloat64(rng) * lengthMs) / 2),
   }));
 }
--- a/soak/__tests__/unit/SoakChecks.test.ts
+++ b/soak/__tests__/unit/SoakChecks.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { failureBody, sealOf } from '../../../platform/__tests__/utils/StandInOddities.js';
+import { failureBody, sealOf } from '../../../platform/__tests__/utils/StandInUnusualAnswers.js';
 import { checkRecord, DRAIN_MS, REVOKE_MS } from '../../SoakChecks.js';
 import { plainAnswer, streamEvent, STREAM_EVENTS } from '../../SoakStream.js';
 import type { SoakAttempt, SoakRecord, SoakRun } from '../../SoakTypes.js';
