--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -102,14 +102,14 @@
 
   setLate(n: number, late: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { lateMs: late ? LATE_MS : 0 });
+      Object.assign(behaviour, { delayMs: late ? LATE_MS : 0 });
     });
   }
 
   setLosingOrders(n: number, loses: boolean): void {
     this.#change(n, ({ rank }) => {
       if (rank !== null) {
-        Object.assign(rank, { losesOrders: loses });
+        Object.assign(rank, { dropsOrderReplies: loses });
       }
     });
   }
@@ -135,7 +135,7 @@
     const engine = this.#engines.get(n);
     Object.assign(engine?.behaviour ?? {}, need);
     const end = (): void => {
-      Object.assign(engine?.behaviour ?? {}, { limit: null, restS: null, leaving: false });
+      Object.assign(engine?.behaviour ?? {}, { limit: null, retryAfterS: null, leaving: false });
     };
     return { engine: engine?.id ?? '', end };
   }
@@ -167,7 +167,7 @@
     Object.assign(engine.behaviour, {
       events: STREAM_EVENTS,
       pauseMs: EVENT_MS,
-      fatal: FATAL_PREFIX,
+      fatalPrefix: FATAL_PREFIX,
     });
     engine.onRefusal = (refusal) => this.refusals.push(refusal);
     engine.onAnswer = (answer) => this.answers.push(answer);
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -106,7 +106,7 @@
 /** What an engine in need says. */
 const NEED_BEHAVIOUR: Readonly<Record<SoakNeedKind, (perSecond: number) => object>> = {
   limit: (perSecond) => ({ limit: perSecond }),
-  rest: () => ({ restS: REST_S }),
+  rest: () => ({ retryAfterS: REST_S }),
   leave: () => ({ leaving: true }),
 };
 
