--- a/soak/SoakAnswerReader.ts
+++ b/soak/SoakAnswerReader.ts
@@ -4,7 +4,7 @@
 
 const STATUS_LINE = /^HTTP\/1\.1 (\d{3})( .*)?$/;
 const HEADER_LINE = /^([!-9;-~]+):[ \t]*(.*)$/;
-const SIZE_LINE = /^([0-9a-f]+)$/i;
+const CHUNK_SIZE_LINE = /^([0-9a-f]+)$/i;
 
 const LINE_END = '\r\n';
 
@@ -16,7 +16,7 @@
 
   #body = '';
 
-  #left = 0;
+  #remaining = 0;
 
   #status = 0;
 
@@ -31,18 +31,18 @@
     return this.#body;
   }
 
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#state === 'whole';
   }
 
   /** Whether something came that is no answer in the protocol. */
-  get isGarbled(): boolean {
+  get isMalformed(): boolean {
     return this.#state === 'garbled';
   }
 
   /** What has come behind the answer. */
-  get rest(): string {
-    return this.isWhole ? this.#text : '';
+  get trailingText(): string {
+    return this.isComplete ? this.#text : '';
   }
 
   header(name: string): string | null {
@@ -51,9 +51,9 @@
 
   feed(text: string): void {
     this.#text += text;
-    let moves = true;
-    while (moves) {
-      moves = this.#step();
+    let advanced = true;
+    while (advanced) {
+      advanced = this.#advance();
     }
   }
 
@@ -65,21 +65,21 @@
   }
 
   /** Reads the next part, if it is there. */
-  #step(): boolean {
+  #advance(): boolean {
     const steps: Readonly<Record<State, () => boolean>> = {
       head: () => this.#onHead(),
-      length: () => this.#take('whole'),
+      length: () => this.#readBody('whole'),
       size: () => this.#onSize(),
       chunk: () => this.#onChunk(),
       trailer: () => this.#onTrailer(),
-      untilClose: () => this.#onRest(),
+      untilClose: () => this.#onBodyUntilClose(),
       whole: () => false,
       garbled: () => false,
     };
     return steps[this.#state]();
   }
 
-  #line(): string | null {
+  #readLine(): string | null {
     const end = this.#text.indexOf(LINE_END);
     if (end < 0) {
       return null;
@@ -115,17 +115,17 @@
       return 'size';
     }
     const length = this.header('content-length');
-    this.#left = Number(length ?? 0);
+    this.#remaining = Number(length ?? 0);
     return length === null ? 'untilClose' : 'length';
   }
 
   /** Takes bytes of the body until none are left of its part. */
-  #take(next: State): boolean {
-    const part = this.#text.slice(0, this.#left);
+  #readBody(next: State): boolean {
+    const part = this.#text.slice(0, this.#remaining);
     this.#body += part;
     this.#text = this.#text.slice(part.length);
-    this.#left -= part.length;
-    if (this.#left > 0) {
+    this.#remaining -= part.length;
+    if (this.#remaining > 0) {
       return false;
     }
     this.#state = next;
@@ -133,19 +133,19 @@
   }
 
   #onSize(): boolean {
-    const line = this.#line();
+    const line = this.#readLine();
     if (line === null) {
       return false;
     }
-    const size = SIZE_LINE.exec(line)?.[1];
-    this.#left = Number.parseInt(size ?? '0', 16);
-    const next: State = this.#left === 0 ? 'trailer' : 'chunk';
+    const size = CHUNK_SIZE_LINE.exec(line)?.[1];
+    this.#remaining = Number.parseInt(size ?? '0', 16);
+    const next: State = this.#remaining === 0 ? 'trailer' : 'chunk';
     this.#state = size === undefined ? 'garbled' : next;
     return true;
   }
 
   #onChunk(): boolean {
-    if (this.#left > 0 && !this.#take('chunk')) {
+    if (this.#remaining > 0 && !this.#readBody('chunk')) {
       return false;
     }
     if (this.#text.length < LINE_END.length) {
@@ -157,14 +157,14 @@
   }
 
   #onTrailer(): boolean {
-    const line = this.#line();
+    const line = this.#readLine();
     if (line === '') {
       this.#state = 'whole';
     }
     return line !== null;
   }
 
-  #onRest(): boolean {
+  #onBodyUntilClose(): boolean {
     this.#body += this.#text;
     this.#text = '';
     return false;
--- a/soak/SoakConnection.ts
+++ b/soak/SoakConnection.ts
@@ -1,22 +1,22 @@
 /** A caller's connection to an entry host. It shows what Node's client hides: stray bytes, and what is still open. */
 import { connect, type Socket } from 'node:net';
 import { SoakAnswerReader } from './SoakAnswerReader.js';
-import { eventsOf } from './SoakStream.js';
-import type { SoakEnd } from './SoakTypes.js';
+import { eventIdsOf } from './SoakStream.js';
+import type { SoakOutcome } from './SoakTypes.js';
 
 /** What is sent, and how long and how far the caller reads. */
 export interface SoakCall {
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   /** Events after which the caller breaks off; null for never. */
-  readonly leaveAfter: number | null;
+  readonly abortAfter: number | null;
 }
 
 /** What came of it. */
-export interface SoakExchange {
-  readonly end: SoakEnd;
+export interface SoakCallResult {
+  readonly outcome: SoakOutcome;
   /** 0 where no head came. */
   readonly status: number;
   readonly body: string;
@@ -25,16 +25,16 @@
   readonly stray: string;
 }
 
-interface Pending {
+interface PendingCall {
   readonly reader: SoakAnswerReader;
-  readonly leaveAfter: number | null;
-  readonly settle: (end: SoakEnd) => void;
+  readonly abortAfter: number | null;
+  readonly settle: (outcome: SoakOutcome) => void;
 }
 
 /** Most of stray bytes that is kept. */
-const MOST_STRAY = 200;
+const MAX_STRAY_BYTES = 200;
 
-function textOf({ path, headers, body }: SoakCall): string {
+function requestTextOf({ path, headers, body }: SoakCall): string {
   const lines = Object.entries({ ...headers, 'content-length': String(body.length) });
   const head = lines.map(([name, value]) => `${name}: ${value}\r\n`).join('');
   return `POST ${path} HTTP/1.1\r\n${head}\r\n${body}`;
@@ -44,7 +44,7 @@
 export class SoakConnection {
   readonly #socket: Socket;
 
-  #pending: Pending | null = null;
+  #pending: PendingCall | null = null;
 
   #stray = '';
 
@@ -70,30 +70,30 @@
   }
 
   /** Sends one request and reads what comes, until its end, a break, enough events or the end of patience. */
-  async call(call: SoakCall): Promise<SoakExchange> {
+  async call(call: SoakCall): Promise<SoakCallResult> {
     const reader = new SoakAnswerReader();
-    const end = await new Promise<SoakEnd>((resolve) => {
-      const timer = setTimeout(() => resolve('deadline'), call.patienceMs);
-      const settle = (how: SoakEnd): void => {
+    const outcome = await new Promise<SoakOutcome>((resolve) => {
+      const timer = setTimeout(() => resolve('deadline'), call.timeoutMs);
+      const settle = (how: SoakOutcome): void => {
         clearTimeout(timer);
         resolve(how);
       };
-      this.#pending = { reader, leaveAfter: call.leaveAfter, settle };
+      this.#pending = { reader, abortAfter: call.abortAfter, settle };
       if (this.isOpen) {
-        this.#socket.write(textOf(call));
+        this.#socket.write(requestTextOf(call));
       } else {
         settle('broken');
       }
     });
     this.#pending = null;
-    this.#stray += reader.isGarbled ? 'garbled answer' : reader.rest;
-    const stray = this.#stray.slice(0, MOST_STRAY);
+    this.#stray += reader.isMalformed ? 'garbled answer' : reader.trailingText;
+    const stray = this.#stray.slice(0, MAX_STRAY_BYTES);
     this.#stray = '';
-    if (end === 'left' || end === 'deadline' || reader.header('connection') === 'close') {
+    if (outcome === 'left' || outcome === 'deadline' || reader.header('connection') === 'close') {
       this.close();
     }
     const { status, body } = reader;
-    return { end, status, body, header: (name) => reader.header(name), stray };
+    return { outcome, status, body, header: (name) => reader.header(name), stray };
   }
 
   #onData(text: string): void {
@@ -101,13 +101,13 @@
       this.#stray += text;
       return;
     }
-    const { reader, leaveAfter, settle } = this.#pending;
+    const { reader, abortAfter, settle } = this.#pending;
     reader.feed(text);
-    if (leaveAfter !== null && eventsOf(reader.body).length >= leaveAfter) {
+    if (abortAfter !== null && eventIdsOf(reader.body).length >= abortAfter) {
       settle('left');
-    } else if (reader.isWhole) {
+    } else if (reader.isComplete) {
       settle('whole');
-    } else if (reader.isGarbled) {
+    } else if (reader.isMalformed) {
       settle('broken');
     }
   }
@@ -119,7 +119,7 @@
     }
     const { reader, settle } = this.#pending;
     reader.end();
-    if (reader.isWhole) {
+    if (reader.isComplete) {
       this.close();
       settle('whole');
     } else if (reader.status > 0) {
--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -11,35 +11,35 @@
 import { StandInGroup } from '../platform/__tests__/utils/StandInGroup.js';
 import { StandInRank } from '../platform/__tests__/utils/StandInRank.js';
 import { RESTART_DELAY_MS, FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
-import type { SoakOddity } from './SoakOddities.js';
+import type { SoakUnusualAnswer } from './SoakUnusualAnswers.js';
 import { STREAM_EVENTS } from './SoakStream.js';
-import type { SoakEngineEnd } from './SoakTypes.js';
+import type { SoakEngineCrash } from './SoakTypes.js';
 
 /** Pause between two events of a stream, ms. */
-const EVENT_MS = 60;
+const EVENT_INTERVAL_MS = 60;
 
 /** Events after which a stream breaks off, in the middle of the next. */
-const BREAK_AFTER = 4;
+const BREAK_AFTER_EVENTS = 4;
 
 /** Delay of an engine that is late, ms. */
-const LATE_MS = 700;
+const ANSWER_DELAY_MS = 700;
 
 /** The engines. */
 export class SoakEngines {
   readonly group: StandInGroup;
 
-  readonly seen: SeenRequest[] = [];
+  readonly receivedRequests: SeenRequest[] = [];
 
   readonly refusals: SeenRefusal[] = [];
 
   readonly answers: SeenAnswer[] = [];
 
   /** Engines that requests ended. */
-  readonly ends: SoakEngineEnd[] = [];
+  readonly crashes: SoakEngineCrash[] = [];
 
   readonly #platform: StandInPlatform;
 
-  readonly #setGone: (n: number, isGone: boolean) => Promise<void>;
+  readonly #setRefusing: (n: number, isGone: boolean) => Promise<void>;
 
   readonly #engines = new Map<number, StandInEngine>();
 
@@ -54,13 +54,13 @@
     setGone: (n: number, isGone: boolean) => Promise<void>,
   ) {
     this.#platform = platform;
-    this.#setGone = setGone;
+    this.#setRefusing = setGone;
     this.group = new StandInGroup(count);
   }
 
   async start(): Promise<void> {
     const hosts = Array.from({ length: this.group.ranks }, (_item, i) => i + 1);
-    await Promise.all(hosts.map(async (n) => this.#startOne(n)));
+    await Promise.all(hosts.map(async (n) => this.#startEngine(n)));
   }
 
   stop(): void {
@@ -72,10 +72,10 @@
   /** Ends an engine with all its connections; the group forms anew. A new incarnation comes later. */
   async crash(n: number, forMs: number, wait: (ms: number) => Promise<void>): Promise<void> {
     this.#engines.get(n)?.stop();
-    await this.#setGone(n, true);
+    await this.#setRefusing(n, true);
     this.group.lockstep.reform();
     await wait(forMs);
-    await this.#startOne(n);
+    await this.#startEngine(n);
   }
 
   /** Says that an engine leaves; its id, and when that was acknowledged; null if it wasn't. */
@@ -90,23 +90,23 @@
   }
 
   /** Replaces an engine that has left by a new incarnation. */
-  async renew(n: number): Promise<void> {
-    await this.#startOne(n);
+  async replace(n: number): Promise<void> {
+    await this.#startEngine(n);
   }
 
-  setBreaking(n: number, breaks: boolean): void {
+  setBreakingStreams(n: number, breaks: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { breakAfter: breaks ? BREAK_AFTER : null });
+      Object.assign(behaviour, { breakAfter: breaks ? BREAK_AFTER_EVENTS : null });
     });
   }
 
-  setLate(n: number, late: boolean): void {
+  setDelayed(n: number, late: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { delayMs: late ? LATE_MS : 0 });
+      Object.assign(behaviour, { delayMs: late ? ANSWER_DELAY_MS : 0 });
     });
   }
 
-  setLosingOrders(n: number, loses: boolean): void {
+  setDroppingOrderReplies(n: number, loses: boolean): void {
     this.#change(n, ({ rank }) => {
       if (rank !== null) {
         Object.assign(rank, { dropsOrderReplies: loses });
@@ -115,25 +115,25 @@
   }
 
   /** Has an engine give one kind of unusual answers, or no longer. */
-  setOdd(n: number, oddity: SoakOddity, isOn: boolean): void {
+  setUnusualAnswer(n: number, kind: SoakUnusualAnswer, isOn: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      if (oddity === 'extra' || oddity === 'resetUnframed') {
-        Object.assign(behaviour, { [oddity]: isOn });
+      if (kind === 'extra' || kind === 'resetUnframed') {
+        Object.assign(behaviour, { [kind]: isOn });
       } else if (isOn) {
-        behaviour.unusual.add(oddity);
+        behaviour.unusual.add(kind);
       } else {
-        behaviour.unusual.delete(oddity);
+        behaviour.unusual.delete(kind);
       }
     });
   }
 
   /** Has an engine ask for relief in its answers, until the result is called; its id. */
-  setNeed(
+  startRelief(
     n: number,
-    need: Partial<StandInBehaviour>,
+    relief: Partial<StandInBehaviour>,
   ): { readonly engine: string; readonly end: () => void } {
     const engine = this.#engines.get(n);
-    Object.assign(engine?.behaviour ?? {}, need);
+    Object.assign(engine?.behaviour ?? {}, relief);
     const end = (): void => {
       Object.assign(engine?.behaviour ?? {}, { limit: null, retryAfterS: null, leaving: false });
     };
@@ -148,36 +148,41 @@
   }
 
   /** An engine that a request has ended comes back, unless something else has replaced it meanwhile. */
-  async #comeBack(n: number, ended: StandInEngine): Promise<void> {
-    await this.#setGone(n, true);
+  async #restart(n: number, crashed: StandInEngine): Promise<void> {
+    await this.#setRefusing(n, true);
     this.group.lockstep.reform();
     await delay(RESTART_DELAY_MS);
-    if (this.#engines.get(n) === ended && !this.#isStopped) {
-      await this.#startOne(n);
+    if (this.#engines.get(n) === crashed && !this.#isStopped) {
+      await this.#startEngine(n);
     }
   }
 
   /** Starts an engine in the place of whatever is there: two disturbances of one engine may overlap. */
-  async #startOne(n: number): Promise<void> {
+  async #startEngine(n: number): Promise<void> {
     this.#engines.get(n)?.stop();
     this.#incarnation += 1;
     const { inside, outside } = this.#platform.engineHost(n);
     const rank = new StandInRank(this.group, n - 1);
-    const engine = new StandInEngine(`i-${n}-${this.#incarnation}`, 'writers', rank, this.seen);
+    const engine = new StandInEngine(
+      `i-${n}-${this.#incarnation}`,
+      'writers',
+      rank,
+      this.receivedRequests,
+    );
     Object.assign(engine.behaviour, {
       events: STREAM_EVENTS,
-      pauseMs: EVENT_MS,
+      pauseMs: EVENT_INTERVAL_MS,
       fatalPrefix: FATAL_PREFIX,
     });
     engine.onRefusal = (refusal) => this.refusals.push(refusal);
     engine.onAnswer = (answer) => this.answers.push(answer);
     engine.onCrash = (body) => {
-      this.ends.push({ body, engine: engine.id, at: performance.now() });
-      this.#comeBack(n, engine).catch(() => undefined);
+      this.crashes.push({ body, engine: engine.id, at: performance.now() });
+      this.#restart(n, engine).catch(() => undefined);
     };
     this.#engines.set(n, engine);
-    const place = { host: inside, port: ENGINE_PORT, reported: outside };
-    await engine.start(place, this.#platform.controls);
-    await this.#setGone(n, false);
+    const listener = { host: inside, port: ENGINE_PORT, reported: outside };
+    await engine.start(listener, this.#platform.controls);
+    await this.#setRefusing(n, false);
   }
 }
--- a/soak/SoakFaults.ts
+++ b/soak/SoakFaults.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { StandInPlatform } from '../platform/__tests__/utils/StandInPlatform.js';
 import type { SoakEngines } from './SoakEngines.js';
-import { ODDITIES, type SoakOddity } from './SoakOddities.js';
+import { UNUSUAL_ANSWERS, type SoakUnusualAnswer } from './SoakUnusualAnswers.js';
 import type { SoakOperator } from './SoakOperator.js';
 import type { ProxyMode, SoakProxy } from './SoakProxy.js';
 import type { SoakFault, SoakFaultKind } from './SoakSchedule.js';
@@ -15,42 +15,42 @@
   readonly proxy: SoakProxy;
   readonly engines: SoakEngines;
   readonly operator: SoakOperator;
-  readonly drained: (drain: SoakDrain) => void;
+  readonly recordDrain: (drain: SoakDrain) => void;
   readonly now: () => number;
-  readonly alone: (names: readonly string[], task: () => Promise<void>) => Promise<void>;
+  readonly runExclusively: (names: readonly string[], task: () => Promise<void>) => Promise<void>;
 }
 
 /** Number of a host, by its name. */
-function numberOf(target: string): number {
+function hostNumberOf(target: string): number {
   return Number(target.split('-')[1]);
 }
 
-type CarryOut = (context: FaultContext) => Promise<void>;
+type FaultInjector = (context: FaultContext) => Promise<void>;
 
 async function sleep(ms: number): Promise<void> {
   await delay(ms);
 }
 
-const kill: CarryOut = async ({ fault: { target, forMs }, platform, alone }) =>
-  alone([target], async () => {
+const kill: FaultInjector = async ({ fault: { target, forMs }, platform, runExclusively }) =>
+  runExclusively([target], async () => {
     await platform.signal(target, 'SIGKILL');
     await delay(forMs);
     await platform.restart(target);
   });
 
-const pause: CarryOut = async ({ fault: { target, forMs }, platform, alone }) =>
-  alone([target], async () => {
+const pause: FaultInjector = async ({ fault: { target, forMs }, platform, runExclusively }) =>
+  runExclusively([target], async () => {
     await platform.signal(target, 'SIGSTOP');
     await delay(forMs);
     await platform.signal(target, 'SIGCONT');
   });
 
-const CONTROLS = ['control-1', 'control-2', 'control-3'];
+const CONTROL_HOSTS = ['control-1', 'control-2', 'control-3'];
 
 /** Holds a host's data back, or delays it, for a while. */
-function inMode(mode: ProxyMode): CarryOut {
-  return async ({ fault: { target, forMs }, proxy, alone }) =>
-    alone([`link of ${target}`], async () => {
+function withProxyMode(mode: ProxyMode): FaultInjector {
+  return async ({ fault: { target, forMs }, proxy, runExclusively }) =>
+    runExclusively([`link of ${target}`], async () => {
       proxy.setMode(target, mode);
       await delay(forMs);
       proxy.setMode(target, 'pass');
@@ -58,26 +58,29 @@
 }
 
 /** Lets an engine misbehave for a while. */
-function misbehave(set: (engines: SoakEngines, n: number, on: boolean) => void): CarryOut {
+function misbehave(set: (engines: SoakEngines, n: number, on: boolean) => void): FaultInjector {
   return async ({ fault: { target, forMs }, engines }) => {
-    set(engines, numberOf(target), true);
+    set(engines, hostNumberOf(target), true);
     await delay(forMs);
-    set(engines, numberOf(target), false);
+    set(engines, hostNumberOf(target), false);
   };
 }
 
 /** Unusual answers of an engine, for a while. */
-const ODD_FAULTS = Object.fromEntries(
-  ODDITIES.map((oddity) => [oddity, misbehave((engines, n, on) => engines.setOdd(n, oddity, on))]),
-) as Record<SoakOddity, CarryOut>;
+const UNUSUAL_ANSWER_INJECTORS = Object.fromEntries(
+  UNUSUAL_ANSWERS.map((kind) => [
+    kind,
+    misbehave((engines, n, on) => engines.setUnusualAnswer(n, kind, on)),
+  ]),
+) as Record<SoakUnusualAnswer, FaultInjector>;
 
 /** Each kind of disturbance; resolves once it is over. */
-export const FAULTS: Readonly<Record<SoakFaultKind | SoakOddity, CarryOut>> = {
-  ...ODD_FAULTS,
+export const FAULT_INJECTORS: Readonly<Record<SoakFaultKind | SoakUnusualAnswer, FaultInjector>> = {
+  ...UNUSUAL_ANSWER_INJECTORS,
   entryKill: kill,
   entryPause: pause,
-  entryTerm: async ({ fault: { target, forMs }, platform, alone }) =>
-    alone([target], async () => {
+  entryTerm: async ({ fault: { target, forMs }, platform, runExclusively }) =>
+    runExclusively([target], async () => {
       await platform.signal(target, 'SIGTERM');
       await delay(forMs);
       await platform.restart(target);
@@ -85,43 +88,43 @@
   controlKill: kill,
   controlPause: pause,
   // All three are kept from being ended beside it: a second loss would lose more disks than is borne.
-  controlWipe: async ({ fault: { target, forMs }, platform, alone }) =>
-    alone(CONTROLS, async () => {
+  controlWipe: async ({ fault: { target, forMs }, platform, runExclusively }) =>
+    runExclusively(CONTROL_HOSTS, async () => {
       await platform.signal(target, 'SIGKILL');
-      await platform.wipeData(numberOf(target));
+      await platform.wipeData(hostNumberOf(target));
       await delay(forMs);
       await platform.restart(target);
       await delay(3_000);
     }),
-  controlKillAll: async ({ fault: { forMs }, platform, alone }) =>
-    alone(CONTROLS, async () => {
-      await Promise.all(CONTROLS.map(async (name) => platform.signal(name, 'SIGKILL')));
+  controlKillAll: async ({ fault: { forMs }, platform, runExclusively }) =>
+    runExclusively(CONTROL_HOSTS, async () => {
+      await Promise.all(CONTROL_HOSTS.map(async (name) => platform.signal(name, 'SIGKILL')));
       await delay(forMs);
-      await Promise.all(CONTROLS.map(async (name) => platform.restart(name)));
+      await Promise.all(CONTROL_HOSTS.map(async (name) => platform.restart(name)));
     }),
   endpointKill: kill,
   endpointPause: pause,
-  hangUp: async ({ fault: { target }, platform, alone }) =>
-    alone([target], async () => platform.signal(target, 'SIGHUP')),
-  engineCrash: async ({ fault: { target, forMs }, engines, alone }) =>
-    alone([target], async () => engines.crash(numberOf(target), forMs, sleep)),
-  drain: async ({ fault: { target, forMs }, engines, drained, now, alone }) =>
-    alone([target], async () => {
-      const drain = await engines.drain(numberOf(target), now);
+  hangUp: async ({ fault: { target }, platform, runExclusively }) =>
+    runExclusively([target], async () => platform.signal(target, 'SIGHUP')),
+  engineCrash: async ({ fault: { target, forMs }, engines, runExclusively }) =>
+    runExclusively([target], async () => engines.crash(hostNumberOf(target), forMs, sleep)),
+  drain: async ({ fault: { target, forMs }, engines, recordDrain, now, runExclusively }) =>
+    runExclusively([target], async () => {
+      const drain = await engines.drain(hostNumberOf(target), now);
       if (drain !== null) {
-        drained(drain);
+        recordDrain(drain);
       }
       await delay(forMs);
-      await engines.renew(numberOf(target));
+      await engines.replace(hostNumberOf(target));
     }),
-  engineBreak: misbehave((engines, n, on) => engines.setBreaking(n, on)),
-  engineLate: misbehave((engines, n, on) => engines.setLate(n, on)),
-  orderLost: misbehave((engines, n, on) => engines.setLosingOrders(n, on)),
+  engineBreak: misbehave((engines, n, on) => engines.setBreakingStreams(n, on)),
+  engineLate: misbehave((engines, n, on) => engines.setDelayed(n, on)),
+  orderLost: misbehave((engines, n, on) => engines.setDroppingOrderReplies(n, on)),
   linkReset: async ({ fault: { target }, proxy }) => proxy.reset(target),
   linkSilent: async ({ fault: { target }, proxy }) => proxy.silence(target),
-  linkDelay: inMode('delay'),
-  cutInward: inMode('cutInward'),
-  cutOutward: inMode('cutOutward'),
-  configure: async ({ operator }) => operator.configure(),
-  withdraw: async ({ operator }) => operator.withdraw(),
+  linkDelay: withProxyMode('delay'),
+  cutInward: withProxyMode('cutInward'),
+  cutOutward: withProxyMode('cutOutward'),
+  configure: async ({ operator }) => operator.addKey(),
+  withdraw: async ({ operator }) => operator.revokeOldestKey(),
 };
--- a/soak/SoakMain.ts
+++ b/soak/SoakMain.ts
@@ -1,8 +1,8 @@
 /** `npm run soak -- --seed 1 --runs 10`: plays soak runs and prints one JSON line each. */
 import { Command, Option, runExit } from 'clipanion';
-import { playSoak, type SoakResult } from './SoakRun.js';
+import { runSoak, type SoakResult } from './SoakRun.js';
 
-function positive(text: string, name: string): number {
+function parsePositive(text: string, name: string): number {
   const value = Number(text);
   if (!Number.isFinite(value) || value <= 0) {
     throw new Error(`${name}: "${text}" is not a number above 0`);
@@ -37,31 +37,34 @@
   logs = Option.Boolean('--logs', false, { description: 'pass the processes’ logs on' });
 
   override async execute(): Promise<number> {
-    const first = positive(this.seed, '--seed');
-    const seeds = Array.from({ length: positive(this.runs, '--runs') }, (_item, i) => first + i);
-    const jobs = positive(this.jobs, '--jobs');
+    const firstSeed = parsePositive(this.seed, '--seed');
+    const seeds = Array.from(
+      { length: parsePositive(this.runs, '--runs') },
+      (_item, i) => firstSeed + i,
+    );
+    const jobs = parsePositive(this.jobs, '--jobs');
     let failed = 0;
-    const work = async (): Promise<void> => {
+    const runSeeds = async (): Promise<void> => {
       for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
         // Each lane plays one run at a time.
         // eslint-disable-next-line no-await-in-loop
-        const result = await this.#play(seed);
+        const result = await this.#run(seed);
         failed += result.findings.length > 0 ? 1 : 0;
         this.context.stdout.write(`${JSON.stringify(result)}\n`);
       }
     };
-    await Promise.all(Array.from({ length: jobs }, work));
+    await Promise.all(Array.from({ length: jobs }, runSeeds));
     return failed === 0 ? 0 : 1;
   }
 
-  async #play(seed: number): Promise<SoakResult> {
-    return playSoak({
+  async #run(seed: number): Promise<SoakResult> {
+    return runSoak({
       seed,
-      lengthMs: positive(this.seconds, '--seconds') * 1_000,
-      rate: positive(this.rate, '--rate'),
-      entries: positive(this.entries, '--entries'),
-      endpoints: positive(this.endpoints, '--endpoints'),
-      callers: positive(this.callers, '--callers'),
+      durationMs: parsePositive(this.seconds, '--seconds') * 1_000,
+      faultsPerSecond: parsePositive(this.rate, '--rate'),
+      entries: parsePositive(this.entries, '--entries'),
+      endpoints: parsePositive(this.endpoints, '--endpoints'),
+      callers: parsePositive(this.callers, '--callers'),
       logs: this.logs ? 'inherit' : 'ignore',
     });
   }
--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -5,9 +5,9 @@
   type StandInPlatform,
 } from '../platform/__tests__/utils/StandInPlatform.js';
 import { usableFrom } from './SoakChecks.js';
-import type { SoakWithdrawal } from './SoakTypes.js';
+import type { SoakRevokedKey } from './SoakTypes.js';
 
-interface Key {
+interface ActiveKey {
   readonly key: string;
   readonly usableFrom: number;
 }
@@ -18,13 +18,13 @@
 
   readonly #now: () => number;
 
-  readonly #withdrawals: SoakWithdrawal[] = [];
+  readonly #revokedKeys: SoakRevokedKey[] = [];
 
   #version = 0;
 
-  #acked = 0;
+  #ackedVersion = 0;
 
-  #keys: readonly Key[] = [];
+  #keys: readonly ActiveKey[] = [];
 
   /** Documents go out one after the other, as a pipeline sends them. */
   #queue: Promise<void> = Promise.resolve();
@@ -34,25 +34,25 @@
     this.#now = now;
   }
 
-  get acked(): number {
-    return this.#acked;
+  get ackedVersion(): number {
+    return this.#ackedVersion;
   }
 
-  get withdrawals(): readonly SoakWithdrawal[] {
-    return this.#withdrawals;
+  get revokedKeys(): readonly SoakRevokedKey[] {
+    return this.#revokedKeys;
   }
 
   /** Keys that are in force everywhere, and those withdrawn lately: callers go on using them. */
   usableKeys(): readonly string[] {
     const now = this.#now();
     const valid = this.#keys.filter((key) => key.usableFrom <= now).map(({ key }) => key);
-    const old = this.#withdrawals.slice(-2).map(({ key }) => key);
-    return valid.length === 0 ? [] : [...valid, ...valid, ...old];
+    const revoked = this.#revokedKeys.slice(-2).map(({ key }) => key);
+    return valid.length === 0 ? [] : [...valid, ...valid, ...revoked];
   }
 
   /** Adds a key by a new version. */
-  async configure(): Promise<void> {
-    return this.#inTurn(async () => {
+  async addKey(): Promise<void> {
+    return this.#enqueue(async () => {
       const key = `key-${this.#version + 1}`;
       const kept = this.#keys.map((item) => item.key);
       const ackedAt = await this.#submit([...kept, key]);
@@ -61,22 +61,22 @@
   }
 
   /** Takes the oldest key away, unless it is the only one that may be used. */
-  async withdraw(): Promise<void> {
-    return this.#inTurn(async () => {
+  async revokeOldestKey(): Promise<void> {
+    return this.#enqueue(async () => {
       const [oldest, ...rest] = this.#keys;
       if (oldest === undefined || !rest.some((key) => key.usableFrom <= this.#now())) {
         return;
       }
       // From the sending on nobody can say which of the two is in force.
       this.#keys = rest;
-      this.#withdrawals.push({ key: oldest.key, ackedAt: Infinity });
+      this.#revokedKeys.push({ key: oldest.key, ackedAt: Infinity });
       const ackedAt = await this.#submit(rest.map(({ key }) => key));
-      const at = this.#withdrawals.findIndex(({ key }) => key === oldest.key);
-      this.#withdrawals[at] = { key: oldest.key, ackedAt };
+      const at = this.#revokedKeys.findIndex(({ key }) => key === oldest.key);
+      this.#revokedKeys[at] = { key: oldest.key, ackedAt };
     });
   }
 
-  async #inTurn(task: () => Promise<void>): Promise<void> {
+  async #enqueue(task: () => Promise<void>): Promise<void> {
     this.#queue = this.#queue.then(task);
     return this.#queue;
   }
@@ -92,7 +92,7 @@
       // eslint-disable-next-line no-await-in-loop
       const status = await postDocument(control, text).catch(() => 0);
       if (status === 200) {
-        this.#acked = version;
+        this.#ackedVersion = version;
         return this.#now();
       }
     }
--- a/soak/SoakProxy.ts
+++ b/soak/SoakProxy.ts
@@ -17,7 +17,7 @@
 /** Delay of each piece of data in the mode `delay`, ms: some fifty times that between AZs. */
 const DELAY_MS = 80;
 
-interface Pair {
+interface ProxiedConnection {
   readonly host: string;
   readonly caller: Socket;
   readonly callee: Socket;
@@ -42,37 +42,37 @@
 export class SoakProxy {
   readonly #servers = new Map<string, Server>();
 
-  readonly #pairs = new Set<Pair>();
+  readonly #connections = new Set<ProxiedConnection>();
 
-  readonly #turns = new Map<string, Promise<void>>();
+  readonly #portQueues = new Map<string, Promise<void>>();
 
   #isClosed = false;
 
   readonly #modes = new Map<string, ProxyMode>();
 
   async listen(ports: readonly ProxyPort[]): Promise<void> {
-    await Promise.all(ports.map(async (port) => this.#listen(port)));
+    await Promise.all(ports.map(async (proxyPort) => this.#listen(proxyPort)));
   }
 
   /** Refuses new connections to a port, as a host does whose process is gone, or takes them again. */
-  async setRefusing(place: ProxyPort, refuses: boolean): Promise<void> {
-    const key = keyOf(place);
+  async setRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
+    const key = keyOf(proxyPort);
     // One after the other: a server that is about to listen can't be told so again.
-    const before = this.#turns.get(key) ?? Promise.resolve();
-    const turn = before.then(async () => this.#refuse(place, refuses));
-    this.#turns.set(key, turn);
-    return turn;
+    const previous = this.#portQueues.get(key) ?? Promise.resolve();
+    const queued = previous.then(async () => this.#applyRefusing(proxyPort, refuses));
+    this.#portQueues.set(key, queued);
+    return queued;
   }
 
   /** Sets what is done to a host's data; what a cut held back goes on when it ends. */
   setMode(host: string, mode: ProxyMode): void {
     this.#modes.set(host, mode);
-    this.#pairs.forEach((pair) => this.#apply(pair));
+    this.#connections.forEach((pair) => this.#applyMode(pair));
   }
 
   /** Resets all connections of a host. */
   reset(host: string): void {
-    this.#of(host).forEach(({ caller, callee }) => {
+    this.#connectionsOf(host).forEach(({ caller, callee }) => {
       resetSocket(caller);
       resetSocket(callee);
     });
@@ -80,70 +80,70 @@
 
   /** Open connections of a host go silent for good; new ones work. */
   silence(host: string): void {
-    this.#of(host).forEach((pair) => {
+    this.#connectionsOf(host).forEach((pair) => {
       // eslint-disable-next-line no-param-reassign
       pair.silent = true;
-      this.#apply(pair);
+      this.#applyMode(pair);
     });
   }
 
   close(): void {
     this.#isClosed = true;
     this.#servers.forEach((server) => server.close());
-    this.#pairs.forEach(({ caller, callee }) => {
+    this.#connections.forEach(({ caller, callee }) => {
       caller.destroy();
       callee.destroy();
     });
   }
 
-  #of(host: string): readonly Pair[] {
-    return [...this.#pairs].filter((pair) => pair.host === host);
+  #connectionsOf(host: string): readonly ProxiedConnection[] {
+    return [...this.#connections].filter((pair) => pair.host === host);
   }
 
-  async #refuse(place: ProxyPort, refuses: boolean): Promise<void> {
-    const server = this.#servers.get(keyOf(place));
+  async #applyRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
+    const server = this.#servers.get(keyOf(proxyPort));
     if (refuses) {
       server?.close();
     } else if (server?.listening === false && !this.#isClosed) {
-      await listenOn(server, place);
+      await listenOn(server, proxyPort);
     }
   }
 
-  async #listen(place: ProxyPort): Promise<void> {
-    const { host, port, inside } = place;
+  async #listen(proxyPort: ProxyPort): Promise<void> {
+    const { host, port, inside } = proxyPort;
     const server = createServer({ allowHalfOpen: true, pauseOnConnect: true }, (caller) => {
-      this.#join(host, caller, connect({ host: inside, port, allowHalfOpen: true }));
+      this.#addConnection(host, caller, connect({ host: inside, port, allowHalfOpen: true }));
     });
-    this.#servers.set(keyOf(place), server);
-    await listenOn(server, place);
+    this.#servers.set(keyOf(proxyPort), server);
+    await listenOn(server, proxyPort);
   }
 
-  #join(host: string, caller: Socket, callee: Socket): void {
-    const pair: Pair = { host, caller, callee, silent: false };
-    this.#pairs.add(pair);
-    this.#pass(pair, caller, callee);
-    this.#pass(pair, callee, caller);
-    callee.once('connect', () => this.#apply(pair));
+  #addConnection(host: string, caller: Socket, callee: Socket): void {
+    const pair: ProxiedConnection = { host, caller, callee, silent: false };
+    this.#connections.add(pair);
+    this.#forward(pair, caller, callee);
+    this.#forward(pair, callee, caller);
+    callee.once('connect', () => this.#applyMode(pair));
   }
 
-  #pass(pair: Pair, from: Socket, to: Socket): void {
+  #forward(pair: ProxiedConnection, from: Socket, to: Socket): void {
     // One after the other: what comes after a delay has ended must not overtake what was delayed.
-    let before = Promise.resolve();
-    const inTurn = (task: () => void): void => {
+    let previous = Promise.resolve();
+    const enqueue = (task: () => void): void => {
       const delayMs = this.#modes.get(pair.host) === 'delay' ? DELAY_MS : 0;
-      const due = delayMs === 0 ? Promise.resolve() : delay(delayMs);
-      before = before.then(async () => due).then(task);
+      const elapsed = delayMs === 0 ? Promise.resolve() : delay(delayMs);
+      previous = previous.then(async () => elapsed).then(task);
     };
     from.setNoDelay(true);
-    from.on('data', (data: Buffer) => inTurn(() => to.write(data)));
-    from.on('end', () => inTurn(() => to.end()));
+    from.on('data', (data: Buffer) => enqueue(() => to.write(data)));
+    from.on('end', () => enqueue(() => to.end()));
     from.on('error', () => {
       if (!pair.silent) {
         resetSocket(to);
       }
     });
     from.on('close', () => {
-      this.#pairs.delete(pair);
+      this.#connections.delete(pair);
       if (!pair.silent && !from.readableEnded) {
         to.destroy();
       }
@@ -151,16 +151,16 @@
   }
 
   /** Pauses each direction that the mode, or the pair's own silence, holds back. */
-  #apply({ host, caller, callee, silent }: Pair): void {
+  #applyMode({ host, caller, callee, silent }: ProxiedConnection): void {
     const mode = this.#modes.get(host) ?? 'pass';
-    const hold = (socket: Socket, isHeld: boolean): void => {
-      if (isHeld) {
+    const setPaused = (socket: Socket, isPaused: boolean): void => {
+      if (isPaused) {
         socket.pause();
       } else {
         socket.resume();
       }
     };
-    hold(caller, silent || mode === 'cutInward');
-    hold(callee, silent || mode === 'cutOutward');
+    setPaused(caller, silent || mode === 'cutInward');
+    setPaused(callee, silent || mode === 'cutOutward');
   }
 }
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -12,39 +12,39 @@
 import { SoakCallers } from './SoakCallers.js';
 import { checkRecord } from './SoakChecks.js';
 import { SoakEngines } from './SoakEngines.js';
-import { planNeeds, REST_S, type SoakNeedPlan } from './SoakNeeds.js';
-import { planOddities } from './SoakOddities.js';
+import { planRelief, BACKOFF_S, type SoakReliefPlan } from './SoakRelief.js';
+import { planUnusualAnswers } from './SoakUnusualAnswers.js';
 import { SoakOperator } from './SoakOperator.js';
-import { FAULTS } from './SoakFaults.js';
+import { FAULT_INJECTORS } from './SoakFaults.js';
 import { SoakProxy } from './SoakProxy.js';
 import {
-  FATAL_PAUSE_MS,
-  planFatal,
-  planSoak,
+  FATAL_INTERVAL_MS,
+  planFatalRequests,
+  planFaults,
   type SoakFatalRequest,
   type SoakFault,
-  type SoakShape,
+  type SoakPlanOptions,
 } from './SoakSchedule.js';
 import { STREAM_EVENTS } from './SoakStream.js';
 import type {
   SoakDrain,
-  SoakEvent,
+  SoakInjectedFault,
   SoakFinding,
-  SoakNeed,
-  SoakNeedKind,
+  SoakReliefRequest,
+  SoakReliefKind,
   SoakRecord,
 } from './SoakTypes.js';
 
 /** A run. */
-export interface SoakOptions extends SoakShape {
+export interface SoakOptions extends SoakPlanOptions {
   readonly seed: number;
   readonly callers: number;
   /** Disturbances in place of the seed's own. */
   readonly faults?: readonly SoakFault[];
   /** Engines that ask for relief in place of the seed's own. */
-  readonly needs?: readonly SoakNeedPlan[];
+  readonly relief?: readonly SoakReliefPlan[];
   /** Requests that end their engines in place of the seed's own. */
-  readonly fatal?: readonly SoakFatalRequest[];
+  readonly fatalRequests?: readonly SoakFatalRequest[];
   readonly logs?: 'ignore' | 'inherit';
 }
 
@@ -57,61 +57,61 @@
 }
 
 /** After all disturbances the system has this long to serve again, ms. */
-const RECOVER_MS = 10_000;
+const RECOVERY_TIMEOUT_MS = 10_000;
 
 /** Time in which it then has to serve as usual, ms. */
-const CALM_MS = 2_500;
+const AFTER_RECOVERY_MS = 2_500;
 
 function now(): number {
   return performance.now();
 }
 
 /** Most time that a control process may need to answer what is newest, ms. */
-const READ_BACK_MS = 10_000;
+const READ_BACK_TIMEOUT_MS = 10_000;
 
 function figuresOf({
   attempts,
-  runs,
-  acked,
-  events,
-  engineEnds,
+  executions,
+  ackedVersion,
+  injectedFaults,
+  engineCrashes,
   refusals,
 }: SoakRecord): SoakResult['figures'] {
   const count = (test: (attempt: (typeof attempts)[number]) => boolean): number =>
     attempts.filter(test).length;
   return {
     attempts: attempts.length,
-    whole: count(({ status, end }) => status === 200 && end === 'whole'),
+    whole: count(({ status, outcome }) => status === 200 && outcome === 'whole'),
     refused: count(({ status }) => status === 503),
     failed: count(({ status }) => status >= 500 && status !== 503),
-    left: count(({ end }) => end === 'left'),
-    afterLast: count(({ after, status }) => after === STREAM_EVENTS && status === 200),
-    broken: count(({ end }) => end === 'broken'),
-    deadline: count(({ end }) => end === 'deadline'),
-    runs: runs.length,
-    resumed: runs.filter(({ resumed }) => resumed).length,
-    versions: acked,
-    faults: events.length,
-    engineEnds: engineEnds.length,
+    left: count(({ outcome }) => outcome === 'left'),
+    afterLast: count(({ lastEventId, status }) => lastEventId === STREAM_EVENTS && status === 200),
+    broken: count(({ outcome }) => outcome === 'broken'),
+    deadline: count(({ outcome }) => outcome === 'deadline'),
+    runs: executions.length,
+    resumed: executions.filter(({ resumed }) => resumed).length,
+    versions: ackedVersion,
+    faults: injectedFaults.length,
+    engineEnds: engineCrashes.length,
     refusals: refusals.length,
   };
 }
 
 /** All disturbances of a seed, unusual answers of engines among them. */
-export function planAll(seed: number, shape: SoakShape): readonly SoakFault[] {
-  const faults = planSoak(seed, shape);
-  return [...faults, ...planOddities(seed, shape, faults)];
+export function planAllFaults(seed: number, options: SoakPlanOptions): readonly SoakFault[] {
+  const faults = planFaults(seed, options);
+  return [...faults, ...planUnusualAnswers(seed, options, faults)];
 }
 
 /** What an engine in need says. */
-const NEED_BEHAVIOUR: Readonly<Record<SoakNeedKind, (perSecond: number) => object>> = {
+const RELIEF_BEHAVIOUR: Readonly<Record<SoakReliefKind, (perSecond: number) => object>> = {
   limit: (perSecond) => ({ limit: perSecond }),
-  rest: () => ({ retryAfterS: REST_S }),
+  rest: () => ({ retryAfterS: BACKOFF_S }),
   leave: () => ({ leaving: true }),
 };
 
 /** The system of one run with all that stands around it. */
-class SoakWorld {
+class SoakHarness {
   readonly #platform: StandInPlatform;
 
   readonly #proxy: SoakProxy;
@@ -122,13 +122,13 @@
 
   readonly #options: SoakOptions;
 
-  readonly #events: SoakEvent[] = [];
+  readonly #injectedFaults: SoakInjectedFault[] = [];
 
   readonly #drains: SoakDrain[] = [];
 
-  readonly #needs: SoakNeed[] = [];
+  readonly #reliefRequests: SoakReliefRequest[] = [];
 
-  readonly #ownEnds: string[] = [];
+  readonly #unexpectedExits: string[] = [];
 
   /** Hosts whose process is being ended, started or paused, and engines that are being changed. */
   readonly #busy = new Set<string>();
@@ -148,7 +148,7 @@
   async run(): Promise<SoakResult> {
     const { seed, callers, entries } = this.#options;
     await this.#engines.start();
-    await this.#operator.configure();
+    await this.#operator.addKey();
     await waitUntil('entry hosts are ready', async () => this.#platform.areReady(), 30_000);
     const rng = xoroshiro128plus(seed);
     const stop = new AbortController();
@@ -163,30 +163,30 @@
       now,
       signal: stop.signal,
     });
-    const calling = load.run();
-    const faults = this.#options.faults ?? planAll(seed, this.#options);
-    const watch = setInterval(() => this.#watchEnds(), 100);
-    const fatal = this.#options.fatal ?? planFatal(seed, this.#options);
-    const needs = this.#options.needs ?? planNeeds(seed, this.#options);
+    const calls = load.run();
+    const faults = this.#options.faults ?? planAllFaults(seed, this.#options);
+    const exitWatch = setInterval(() => this.#watchExits(), 100);
+    const fatalRequests = this.#options.fatalRequests ?? planFatalRequests(seed, this.#options);
+    const reliefPlans = this.#options.relief ?? planRelief(seed, this.#options);
     await Promise.all([
-      this.#disturb(faults),
-      this.#sendFatal(fatal, load),
-      ...needs.map(async (need) => this.#needRelief(need)),
+      this.#injectFaults(faults),
+      this.#sendFatalRequests(fatalRequests, load),
+      ...reliefPlans.map(async (plan) => this.#requestRelief(plan)),
     ]);
-    clearInterval(watch);
+    clearInterval(exitWatch);
     await this.#recover();
     const { lockstep } = this.#engines.group;
-    const calmFrom = now();
-    const passesFrom = lockstep.step;
-    await delay(CALM_MS);
-    await Promise.all(fatal.map(async ({ body }) => load.callFatal(body)));
+    const recoveredAt = now();
+    const stepAtRecovery = lockstep.step;
+    await delay(AFTER_RECOVERY_MS);
+    await Promise.all(fatalRequests.map(async ({ body }) => load.callFatal(body)));
     stop.abort();
-    await calling;
-    const readBack = await this.#readBack();
+    await calls;
+    const readBackVersions = await this.#readBack();
     const { attempts } = load;
     const record: SoakRecord = {
       attempts,
-      runs: this.#engines.seen.map(({ id, engine, at, customer, lastEvent }) => ({
+      executions: this.#engines.receivedRequests.map(({ id, engine, at, customer, lastEvent }) => ({
         id,
         engine,
         at,
@@ -194,20 +194,23 @@
         resumed: lastEvent !== undefined,
       })),
       answers: this.#engines.answers,
-      withdrawals: this.#operator.withdrawals,
+      revokedKeys: this.#operator.revokedKeys,
       drains: this.#drains,
-      needs: this.#needs,
+      reliefRequests: this.#reliefRequests,
       refusals: this.#engines.refusals,
-      events: this.#events,
-      engineEnds: this.#engines.ends,
-      fatalRuns: this.#engines.seen.filter(({ body }) => body.startsWith(FATAL_PREFIX)),
+      injectedFaults: this.#injectedFaults,
+      engineCrashes: this.#engines.crashes,
+      fatalExecutions: this.#engines.receivedRequests.filter(({ body }) =>
+        body.startsWith(FATAL_PREFIX),
+      ),
       mixedPasses: lockstep.mixed,
-      acked: this.#operator.acked,
-      readBack,
-      ownEnds: this.#ownEnds,
-      servedAtEnd: attempts.filter(({ sentAt, status }) => sentAt > calmFrom && status === 200)
-        .length,
-      passesAtEnd: lockstep.step - passesFrom,
+      ackedVersion: this.#operator.ackedVersion,
+      readBackVersions,
+      unexpectedExits: this.#unexpectedExits,
+      servedAfterRecovery: attempts.filter(
+        ({ sentAt, status }) => sentAt > recoveredAt && status === 200,
+      ).length,
+      passesAfterRecovery: lockstep.step - stepAtRecovery,
     };
     return { seed, faults, findings: checkRecord(record), figures: figuresOf(record) };
   }
@@ -216,41 +219,44 @@
     this.#engines.stop();
   }
 
-  async #disturb(faults: readonly SoakFault[]): Promise<void> {
-    const begun = now();
+  async #injectFaults(faults: readonly SoakFault[]): Promise<void> {
+    const startedAt = now();
     await Promise.all(
       faults.map(async (fault) => {
-        await delay(Math.max(0, begun + fault.at - now()));
-        await this.#carryOut(fault);
+        await delay(Math.max(0, startedAt + fault.at - now()));
+        await this.#injectFault(fault);
       }),
     );
   }
 
   /** Sends each request that ends its engine again and again, from its time on until the disturbances are over. */
-  async #sendFatal(fatal: readonly SoakFatalRequest[], load: SoakCallers): Promise<void> {
-    const begun = now();
-    const { lengthMs } = this.#options;
+  async #sendFatalRequests(
+    fatalRequests: readonly SoakFatalRequest[],
+    load: SoakCallers,
+  ): Promise<void> {
+    const startedAt = now();
+    const { durationMs } = this.#options;
     await Promise.all(
-      fatal.map(async ({ body, at }) => {
+      fatalRequests.map(async ({ body, at }) => {
         await delay(at);
-        while (now() - begun < lengthMs) {
+        while (now() - startedAt < durationMs) {
           // The next is sent whether or not the one before was answered.
           load.callFatal(body).catch(() => undefined);
           // eslint-disable-next-line no-await-in-loop
-          await delay(FATAL_PAUSE_MS);
+          await delay(FATAL_INTERVAL_MS);
         }
       }),
     );
   }
 
   /** Has an engine ask for relief in its answers for a while. */
-  async #needRelief({ kind, host, perSecond, at, forMs }: SoakNeedPlan): Promise<void> {
+  async #requestRelief({ kind, host, perSecond, at, forMs }: SoakReliefPlan): Promise<void> {
     await delay(at);
-    const { engine, end } = this.#engines.setNeed(host, NEED_BEHAVIOUR[kind](perSecond));
+    const { engine, end } = this.#engines.startRelief(host, RELIEF_BEHAVIOUR[kind](perSecond));
     const from = now();
     await delay(forMs);
     end();
-    this.#needs.push({ kind, host, engine, perSecond, from, until: now() });
+    this.#reliefRequests.push({ kind, host, engine, perSecond, from, until: now() });
   }
 
   /** Waits until the system serves, after everything that was done to it is undone. */
@@ -259,7 +265,7 @@
     await waitUntil(
       'entry hosts are ready again',
       async () => this.#platform.areReady(),
-      RECOVER_MS,
+      RECOVERY_TIMEOUT_MS,
     ).catch(() => undefined);
   }
 
@@ -271,9 +277,9 @@
           'the newest is read back',
           async () => {
             version = await readVersion(control);
-            return version !== null && version >= this.#operator.acked;
+            return version !== null && version >= this.#operator.ackedVersion;
           },
-          READ_BACK_MS,
+          READ_BACK_TIMEOUT_MS,
         ).catch(() => undefined);
         return version;
       }),
@@ -281,36 +287,36 @@
   }
 
   /** Notes processes that have ended though nobody ended them. */
-  #watchEnds(): void {
+  #watchExits(): void {
     this.#platform.names.forEach((name) => {
-      const end = this.#platform.exitOf(name);
-      if (end !== null && !this.#busy.has(name)) {
+      const exit = this.#platform.exitOf(name);
+      if (exit !== null && !this.#busy.has(name)) {
         this.#busy.add(name);
-        this.#ownEnds.push(`${name} ended by itself (${end})`);
+        this.#unexpectedExits.push(`${name} ended by itself (${exit})`);
       }
     });
   }
 
-  async #carryOut(fault: SoakFault): Promise<void> {
+  async #injectFault(fault: SoakFault): Promise<void> {
     const { kind, target } = fault;
     const from = now();
     const event = { kind, target, from, until: Infinity };
-    this.#events.push(event);
-    await FAULTS[kind]({
+    this.#injectedFaults.push(event);
+    await FAULT_INJECTORS[kind]({
       fault,
       platform: this.#platform,
       proxy: this.#proxy,
       engines: this.#engines,
       operator: this.#operator,
-      drained: (drain) => this.#drains.push(drain),
+      recordDrain: (drain) => this.#drains.push(drain),
       now,
-      alone: async (names, task) => this.#alone(names, task),
+      runExclusively: async (names, task) => this.#runExclusively(names, task),
     });
-    this.#events[this.#events.indexOf(event)] = { ...event, until: now() };
+    this.#injectedFaults[this.#injectedFaults.indexOf(event)] = { ...event, until: now() };
   }
 
   /** One thing is done to a process at a time; what would meet a busy one is left out. */
-  async #alone(names: readonly string[], task: () => Promise<void>): Promise<void> {
+  async #runExclusively(names: readonly string[], task: () => Promise<void>): Promise<void> {
     if (names.some((name) => this.#busy.has(name))) {
       return;
     }
@@ -321,16 +327,16 @@
 }
 
 /** Plays one run; everything that it started has ended when it resolves. */
-export async function playSoak(options: SoakOptions): Promise<SoakResult> {
+export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const { entries, endpoints, logs = 'ignore' } = options;
   const platform = await StandInPlatform.start({ entries, endpoints, proxied: true, logs });
   const proxy = new SoakProxy();
-  const world = new SoakWorld(options, platform, proxy);
+  const harness = new SoakHarness(options, platform, proxy);
   try {
     await proxy.listen(platform.proxiedPorts);
-    return await world.run();
+    return await harness.run();
   } finally {
-    world.stop();
+    harness.stop();
     proxy.close();
     await platform.stop();
   }
--- a/soak/SoakStream.ts
+++ b/soak/SoakStream.ts
@@ -17,7 +17,7 @@
 }
 
 /** Numbers of the whole events in what came of a stream. */
-export function eventsOf(body: string): readonly number[] {
+export function eventIdsOf(body: string): readonly number[] {
   return body
     .split(EVENT_END)
     .slice(0, -1)
@@ -25,10 +25,17 @@
 }
 
 /** The whole body that an attempt has to get: all events after the one that it named. */
-export function wholeBody({ id, kind, after }: Pick<SoakAttempt, 'id' | 'kind' | 'after'>): string {
+export function expectedBody({
+  id,
+  kind,
+  lastEventId,
+}: Pick<SoakAttempt, 'id' | 'kind' | 'lastEventId'>): string {
   if (kind !== 'stream') {
     return plainAnswer(id);
   }
-  const left = Array.from({ length: STREAM_EVENTS - after }, (_item, i) => after + i + 1);
-  return left.map((event) => streamEvent(id, event)).join('');
+  const remaining = Array.from(
+    { length: STREAM_EVENTS - lastEventId },
+    (_item, i) => lastEventId + i + 1,
+  );
+  return remaining.map((event) => streamEvent(id, event)).join('');
 }
--- a/soak/SoakTypes.ts
+++ b/soak/SoakTypes.ts
@@ -1,10 +1,10 @@
 /** What a soak run records: what callers sent and got, what engines ran, and what was done to the system. */
 
 /** Kinds of requests, by what may be repeated. */
-export type SoakKind = 'ask' | 'hold' | 'stream';
+export type SoakRequestKind = 'ask' | 'hold' | 'stream';
 
 /** How an attempt ended for its caller. */
-export type SoakEnd =
+export type SoakOutcome =
   /** The answer ended as the protocol says. */
   | 'whole'
   /** The connection ended inside the answer, or before it. */
@@ -17,13 +17,13 @@
 /** One attempt of a caller; times are ms on the soak's steady clock. */
 export interface SoakAttempt {
   readonly id: string;
-  readonly kind: SoakKind;
+  readonly kind: SoakRequestKind;
   readonly key: string;
   /** Entry host that it was sent to. */
   readonly entry: string;
   readonly sentAt: number;
   readonly endedAt: number;
-  readonly end: SoakEnd;
+  readonly outcome: SoakOutcome;
   /** 0 where there was no answer. */
   readonly status: number;
   /** Id of the request that the answer says it is for, and seal of the engine that gave it; null for none. */
@@ -33,8 +33,8 @@
   /** Bytes on the connection that belong to no answer. */
   readonly stray: string;
   /** Event after which a stream is to go on, and the attempt that it goes on from; 0 and null for a first one. */
-  readonly after: number;
-  readonly resumes: string | null;
+  readonly lastEventId: number;
+  readonly resumedFrom: string | null;
 }
 
 /** An answer that an engine began to give. */
@@ -45,7 +45,7 @@
 }
 
 /** A run of a request at an engine. */
-export interface SoakRun {
+export interface SoakExecution {
   readonly id: string;
   readonly engine: string;
   readonly at: number;
@@ -55,13 +55,13 @@
 }
 
 /** A key was withdrawn by a version whose acknowledgement came at a time. */
-export interface SoakWithdrawal {
+export interface SoakRevokedKey {
   readonly key: string;
   readonly ackedAt: number;
 }
 
 /** A planned or unplanned disturbance, as it was carried out. */
-export interface SoakEvent {
+export interface SoakInjectedFault {
   readonly kind: string;
   readonly target: string;
   readonly from: number;
@@ -75,18 +75,18 @@
 }
 
 /** A request ended the engine that ran it. */
-export interface SoakEngineEnd {
+export interface SoakEngineCrash {
   readonly body: string;
   readonly engine: string;
   readonly at: number;
 }
 
 /** What an engine asks for in its answers. */
-export type SoakNeedKind = 'limit' | 'rest' | 'leave';
+export type SoakReliefKind = 'limit' | 'rest' | 'leave';
 
 /** An engine asked for relief. */
-export interface SoakNeed {
-  readonly kind: SoakNeedKind;
+export interface SoakReliefRequest {
+  readonly kind: SoakReliefKind;
   /** Number of its host, and its id. */
   readonly host: number;
   readonly engine: string;
@@ -106,27 +106,28 @@
 /** All that was recorded. */
 export interface SoakRecord {
   readonly attempts: readonly SoakAttempt[];
-  readonly runs: readonly SoakRun[];
+  readonly executions: readonly SoakExecution[];
   readonly answers: readonly SoakAnswer[];
-  readonly withdrawals: readonly SoakWithdrawal[];
+  readonly revokedKeys: readonly SoakRevokedKey[];
   readonly drains: readonly SoakDrain[];
-  readonly needs: readonly SoakNeed[];
+  readonly reliefRequests: readonly SoakReliefRequest[];
   readonly refusals: readonly SoakRefusal[];
-  readonly events: readonly SoakEvent[];
+  readonly injectedFaults: readonly SoakInjectedFault[];
   /** Engines that requests ended, and all runs of such requests. */
-  readonly engineEnds: readonly SoakEngineEnd[];
-  readonly fatalRuns: readonly (Pick<SoakEngineEnd, 'body' | 'at'> & Pick<SoakRun, 'id'>)[];
+  readonly engineCrashes: readonly SoakEngineCrash[];
+  readonly fatalExecutions: readonly (Pick<SoakEngineCrash, 'body' | 'at'> &
+    Pick<SoakExecution, 'id'>)[];
   /** Passes that began with two maps. */
   readonly mixedPasses: number;
   /** Newest version that was acknowledged, and what each control process reads back at the end. */
-  readonly acked: number;
-  readonly readBack: readonly (number | null)[];
+  readonly ackedVersion: number;
+  readonly readBackVersions: readonly (number | null)[];
   /** Processes that ended without being told to, with how. */
-  readonly ownEnds: readonly string[];
+  readonly unexpectedExits: readonly string[];
   /** Requests answered whole after all disturbances were over. */
-  readonly servedAtEnd: number;
+  readonly servedAfterRecovery: number;
   /** Passes of the group and changes of map after all disturbances were over. */
-  readonly passesAtEnd: number;
+  readonly passesAfterRecovery: number;
 }
 
 /** A broken promise. */
--- a/soak/SoakOddities.ts
+++ b/soak/SoakUnusualAnswers.ts
@@ -2,12 +2,12 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { StandInUnusualAnswer } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
-import type { SoakFault, SoakShape } from './SoakSchedule.js';
+import type { SoakFault, SoakPlanOptions } from './SoakSchedule.js';
 
 /** Kinds of unusual answers: second ones at once, resets without a length, and all of the stand-in's own. */
-export type SoakOddity = StandInUnusualAnswer | 'extra' | 'resetUnframed';
+export type SoakUnusualAnswer = StandInUnusualAnswer | 'extra' | 'resetUnframed';
 
-export const ODDITIES = [
+export const UNUSUAL_ANSWERS = [
   'extra',
   'stale',
   'unframed',
@@ -17,29 +17,29 @@
   'cutLast',
   'full',
   'failure',
-] as const satisfies readonly SoakOddity[];
+] as const satisfies readonly SoakUnusualAnswer[];
 
-const KINDS: ReadonlySet<string> = new Set(ODDITIES);
+const UNUSUAL_ANSWER_SET: ReadonlySet<string> = new Set(UNUSUAL_ANSWERS);
 
-export function isOddity(kind: string): kind is SoakOddity {
-  return KINDS.has(kind);
+export function isUnusualAnswer(kind: string): kind is SoakUnusualAnswer {
+  return UNUSUAL_ANSWER_SET.has(kind);
 }
 
 /** Most time that one kind lasts, ms. */
-const MOST_MS = 1_500;
+const MAX_DURATION_MS = 1_500;
 
 /** Kinds in one series at one engine, and time from the begin of one to the next, ms. */
-const SERIES = 4;
-const STEP_MS = 400;
+const SERIES_LENGTH = 4;
+const SERIES_INTERVAL_MS = 400;
 
 /** Share of disturbances that meet a series. */
-const MEETING_SHARE = 0.25;
+const ACCOMPANIED_SHARE = 0.25;
 
 /** A series begins at most so long before or after the disturbance that it meets, ms. */
-const MEETING_MS = 300;
+const MAX_OFFSET_MS = 300;
 
 /** Disturbances that unusual answers are to meet: signals, restarts and changes of configuration. */
-const MET: ReadonlySet<string> = new Set([
+const ACCOMPANIED_KINDS: ReadonlySet<string> = new Set([
   'entryKill',
   'entryPause',
   'entryTerm',
@@ -56,27 +56,28 @@
  * Unusual answers of a seed: one after the other at one engine, alone and beside its disturbances. Drawn by themselves,
  * so that the disturbances of a seed stay as they are.
  */
-export function planOddities(
+export function planUnusualAnswers(
   seed: number,
-  { endpoints, lengthMs, rate }: SoakShape,
+  { endpoints, durationMs, faultsPerSecond }: SoakPlanOptions,
   faults: readonly SoakFault[],
 ): readonly SoakFault[] {
   const rng = xoroshiro128plus(seed);
   const next = (): number => uniformFloat64(rng);
   const series = (from: number): readonly SoakFault[] => {
     const target = `engine-${1 + Math.floor(next() * endpoints)}`;
-    return Array.from({ length: SERIES }, (_item, i) => ({
-      kind: ODDITIES[Math.floor(next() * ODDITIES.length)] ?? 'extra',
+    return Array.from({ length: SERIES_LENGTH }, (_item, i) => ({
+      kind: UNUSUAL_ANSWERS[Math.floor(next() * UNUSUAL_ANSWERS.length)] ?? 'extra',
       target,
-      at: Math.max(0, Math.round(from + i * STEP_MS)),
-      forMs: Math.round(MOST_MS * next()),
+      at: Math.max(0, Math.round(from + i * SERIES_INTERVAL_MS)),
+      forMs: Math.round(MAX_DURATION_MS * next()),
     }));
   };
-  const alone = Array.from({ length: Math.ceil((lengthMs * rate) / 8_000) }, () =>
-    series(next() * lengthMs),
+  const independent = Array.from(
+    { length: Math.ceil((durationMs * faultsPerSecond) / 8_000) },
+    () => series(next() * durationMs),
   );
-  const meeting = faults
-    .filter(({ kind }) => MET.has(kind) && next() < MEETING_SHARE)
-    .map(({ at }) => series(at + MEETING_MS * (2 * next() - 1)));
-  return [...alone, ...meeting].flat();
+  const accompanying = faults
+    .filter(({ kind }) => ACCOMPANIED_KINDS.has(kind) && next() < ACCOMPANIED_SHARE)
+    .map(({ at }) => series(at + MAX_OFFSET_MS * (2 * next() - 1)));
+  return [...independent, ...accompanying].flat();
 }
--- a/soak/__tests__/unit/SoakChecks.test.ts
+++ b/soak/__tests__/unit/SoakChecks.test.ts
@@ -1,67 +1,75 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { failureBody, sealOf } from '../../../platform/__tests__/utils/StandInUnusualAnswers.js';
-import { checkRecord, DRAIN_MS, REVOKE_MS } from '../../SoakChecks.js';
+import { checkRecord, DRAIN_TIMEOUT_MS, REVOKE_TIMEOUT_MS } from '../../SoakChecks.js';
 import { plainAnswer, streamEvent, STREAM_EVENTS } from '../../SoakStream.js';
-import type { SoakAttempt, SoakRecord, SoakRun } from '../../SoakTypes.js';
+import type { SoakAttempt, SoakRecord, SoakExecution } from '../../SoakTypes.js';
 
-const HOLD: SoakAttempt = {
+const HOLD_ATTEMPT: SoakAttempt = {
   id: 's1',
   kind: 'hold',
   key: 'key-1',
   entry: 'entry-1',
   sentAt: 1_000,
   endedAt: 1_050,
-  end: 'whole',
+  outcome: 'whole',
   status: 200,
   echoedId: 's1',
   seal: sealOf('i-1'),
   body: plainAnswer('s1'),
   stray: '',
-  after: 0,
-  resumes: null,
+  lastEventId: 0,
+  resumedFrom: null,
 };
 
-const RUN: SoakRun = { id: 's1', engine: 'i-1', at: 1_010, customer: 'kano', resumed: false };
+const EXECUTION: SoakExecution = {
+  id: 's1',
+  engine: 'i-1',
+  at: 1_010,
+  customer: 'kano',
+  resumed: false,
+};
 
 const ANSWER = { id: 's1', engine: 'i-1', status: 200 };
 
-const GOOD: SoakRecord = {
-  attempts: [HOLD],
-  runs: [RUN],
+const GOOD_RECORD: SoakRecord = {
+  attempts: [HOLD_ATTEMPT],
+  executions: [EXECUTION],
   answers: [ANSWER],
-  withdrawals: [],
+  revokedKeys: [],
   drains: [],
-  needs: [],
+  reliefRequests: [],
   refusals: [],
-  events: [],
-  engineEnds: [],
-  fatalRuns: [],
+  injectedFaults: [],
+  engineCrashes: [],
+  fatalExecutions: [],
   mixedPasses: 0,
-  acked: 3,
-  readBack: [3, 3, 4],
-  ownEnds: [],
-  servedAtEnd: 10,
-  passesAtEnd: 10,
+  ackedVersion: 3,
+  readBackVersions: [3, 3, 4],
+  unexpectedExits: [],
+  servedAfterRecovery: 10,
+  passesAfterRecovery: 10,
 };
 
 function rulesOf(record: Partial<SoakRecord>): readonly string[] {
-  return checkRecord({ ...GOOD, ...record }).map(({ rule }) => rule);
+  return checkRecord({ ...GOOD_RECORD, ...record }).map(({ rule }) => rule);
 }
 
-function streamOf(events: readonly number[], end: SoakAttempt['end']): SoakAttempt {
+function streamAttempt(events: readonly number[], outcome: SoakAttempt['outcome']): SoakAttempt {
   const body = events.map((event) => streamEvent('s1', event)).join('');
-  return { ...HOLD, kind: 'stream', end, body };
+  return { ...HOLD_ATTEMPT, kind: 'stream', outcome, body };
 }
 
-const ALL = Array.from({ length: STREAM_EVENTS }, (_item, i) => i + 1);
+const ALL_EVENT_IDS = Array.from({ length: STREAM_EVENTS }, (_item, i) => i + 1);
 
 /** Attempts at one entry host, and their runs at an engine, at times. */
-function sentAt(times: readonly number[]): Pick<SoakRecord, 'attempts' | 'runs' | 'answers'> {
+function recordOfRequestsAt(
+  times: readonly number[],
+): Pick<SoakRecord, 'attempts' | 'executions' | 'answers'> {
   const ids = times.map((at) => ({ id: `n${at}`, at }));
   return {
     attempts: ids.map(({ id, at }) => ({
-      ...HOLD,
+      ...HOLD_ATTEMPT,
       id,
       sentAt: at,
       endedAt: at + 20,
@@ -69,125 +77,139 @@
       body: plainAnswer(id),
     })),
     answers: ids.map(({ id }) => ({ ...ANSWER, id })),
-    runs: ids.map(({ id, at }) => ({ ...RUN, id, at: at + 5 })),
+    executions: ids.map(({ id, at }) => ({ ...EXECUTION, id, at: at + 5 })),
   };
 }
 
-const NEED = { host: 1, engine: 'i-1', perSecond: 1, from: 0, until: 20_000 };
+const RELIEF_REQUEST = { host: 1, engine: 'i-1', perSecond: 1, from: 0, until: 20_000 };
 
 /** One arrival that names the limit, and as many in one window as are allowed, and one more. */
-const LIMITED = sentAt([100, ...Array.from({ length: 12 }, (_item, i) => 5_000 + i)]);
+const OVER_LIMIT = recordOfRequestsAt([
+  100,
+  ...Array.from({ length: 12 }, (_item, i) => 5_000 + i),
+]);
 
-const RESTING = sentAt([100, 900, 901, 902]);
+const IN_BACKOFF = recordOfRequestsAt([100, 900, 901, 902]);
 
 /** The parts of a stream that was resumed after its third event, the second with these events. */
-function resumedStream(events: readonly number[], after = 3): Partial<SoakRecord> {
-  const first = streamOf([1, 2, 3], 'left');
+function resumedStream(events: readonly number[], lastEventId = 3): Partial<SoakRecord> {
+  const first = streamAttempt([1, 2, 3], 'left');
   const body = events.map((event) => streamEvent('s2', event)).join('');
-  const next = { ...first, id: 's2', echoedId: 's2', end: 'whole' as const, body };
+  const next = { ...first, id: 's2', echoedId: 's2', outcome: 'whole' as const, body };
   return {
-    attempts: [first, { ...next, after, resumes: 's1' }],
-    runs: [RUN, { ...RUN, id: 's2', resumed: true }],
+    attempts: [first, { ...next, lastEventId, resumedFrom: 's1' }],
+    executions: [EXECUTION, { ...EXECUTION, id: 's2', resumed: true }],
     answers: [ANSWER, { ...ANSWER, id: 's2' }],
   };
 }
 
 /** A failure that an engine gave. */
-const FAILED: Partial<SoakRecord> = {
-  attempts: [{ ...HOLD, status: 500, body: failureBody('s1') }],
+const FAILURE: Partial<SoakRecord> = {
+  attempts: [{ ...HOLD_ATTEMPT, status: 500, body: failureBody('s1') }],
   answers: [{ ...ANSWER, status: 500 }],
 };
 
 /** Each broken promise with a record in which it is broken, and nothing else. */
-const BROKEN: Readonly<Record<string, Partial<SoakRecord>>> = {
-  'own whole answer': { attempts: [{ ...HOLD, body: plainAnswer('s2') }] },
-  'a success bears its seal and id': { attempts: [{ ...HOLD, seal: null }] },
-  'a success is of the engine that ran it': { attempts: [{ ...HOLD, seal: sealOf('i-2') }] },
-  'a sealed failure is its engine’s own': { ...FAILED, answers: [ANSWER] },
-  'nothing but answers': { attempts: [{ ...HOLD, stray: 'more' }] },
-  'a resumed stream goes on': resumedStream(ALL.slice(4), 4),
+const VIOLATIONS: Readonly<Record<string, Partial<SoakRecord>>> = {
+  'own whole answer': { attempts: [{ ...HOLD_ATTEMPT, body: plainAnswer('s2') }] },
+  'a success bears its seal and id': { attempts: [{ ...HOLD_ATTEMPT, seal: null }] },
+  'a success is of the engine that ran it': {
+    attempts: [{ ...HOLD_ATTEMPT, seal: sealOf('i-2') }],
+  },
+  'a sealed failure is its engine’s own': { ...FAILURE, answers: [ANSWER] },
+  'nothing but answers': { attempts: [{ ...HOLD_ATTEMPT, stray: 'more' }] },
+  'a resumed stream goes on': resumedStream(ALL_EVENT_IDS.slice(4), 4),
   'what is passed on is answered': {
-    attempts: [{ ...HOLD, end: 'broken', status: 0, echoedId: null, seal: null, body: '' }],
+    attempts: [
+      { ...HOLD_ATTEMPT, outcome: 'broken', status: 0, echoedId: null, seal: null, body: '' },
+    ],
   },
-  'at most once': { runs: [RUN, { ...RUN, engine: 'i-2' }] },
-  'refused means not run': { attempts: [{ ...HOLD, status: 503, seal: null, body: '' }] },
-  'nothing unasked': { runs: [RUN, { ...RUN, id: 's9' }] },
+  'at most once': { executions: [EXECUTION, { ...EXECUTION, engine: 'i-2' }] },
+  'refused means not run': { attempts: [{ ...HOLD_ATTEMPT, status: 503, seal: null, body: '' }] },
+  'nothing unasked': { executions: [EXECUTION, { ...EXECUTION, id: 's9' }] },
   'withdrawn keys are dead': {
-    withdrawals: [{ key: 'key-1', ackedAt: HOLD.sentAt - REVOKE_MS - 1 }],
+    revokedKeys: [{ key: 'key-1', ackedAt: HOLD_ATTEMPT.sentAt - REVOKE_TIMEOUT_MS - 1 }],
   },
-  'no configuration reverts': { attempts: [{ ...HOLD, status: 401, seal: null }] },
+  'no configuration reverts': { attempts: [{ ...HOLD_ATTEMPT, status: 401, seal: null }] },
   'a leaving engine gets nothing new': {
-    drains: [{ engine: 'i-1', ackedAt: RUN.at - DRAIN_MS - 1 }],
+    drains: [{ engine: 'i-1', ackedAt: EXECUTION.at - DRAIN_TIMEOUT_MS - 1 }],
   },
   'a graceful stop cuts nothing off': {
-    attempts: [{ ...HOLD, end: 'broken', body: '' }],
-    events: [{ kind: 'entryTerm', target: 'entry-1', from: 1_020, until: 9_000 }],
+    attempts: [{ ...HOLD_ATTEMPT, outcome: 'broken', body: '' }],
+    injectedFaults: [{ kind: 'entryTerm', target: 'entry-1', from: 1_020, until: 9_000 }],
   },
-  'a limit is kept': { ...LIMITED, needs: [{ ...NEED, kind: 'limit' }] },
+  'a limit is kept': { ...OVER_LIMIT, reliefRequests: [{ ...RELIEF_REQUEST, kind: 'limit' }] },
   'a rest is kept': {
-    ...RESTING,
-    refusals: RESTING.runs,
-    needs: [{ ...NEED, kind: 'rest' }],
+    ...IN_BACKOFF,
+    refusals: IN_BACKOFF.executions,
+    reliefRequests: [{ ...RELIEF_REQUEST, kind: 'rest' }],
   },
   'an engine’s word that it leaves is kept': {
-    ...sentAt([100, 5_000]),
-    needs: [{ ...NEED, kind: 'leave' }],
+    ...recordOfRequestsAt([100, 5_000]),
+    reliefRequests: [{ ...RELIEF_REQUEST, kind: 'leave' }],
   },
   'one map a pass': { mixedPasses: 1 },
-  'acknowledged is kept': { readBack: [3, 2, 3] },
+  'acknowledged is kept': { readBackVersions: [3, 2, 3] },
   'what ends engines is held': {
-    engineEnds: ['i-1', 'i-2', 'i-3'].map((engine, at) => ({ body: 'fatal 1', engine, at })),
-    fatalRuns: [3_003, 3_004, 3_005, 3_006].map((at) => ({ id: `f${at}`, body: 'fatal 1', at })),
+    engineCrashes: ['i-1', 'i-2', 'i-3'].map((engine, at) => ({ body: 'fatal 1', engine, at })),
+    fatalExecutions: [3_003, 3_004, 3_005, 3_006].map((at) => ({
+      id: `f${at}`,
+      body: 'fatal 1',
+      at,
+    })),
   },
-  'no process ends by itself': { ownEnds: ['entry-1 ended by itself (1)'] },
-  'serves again': { servedAtEnd: 0 },
+  'no process ends by itself': { unexpectedExits: ['entry-1 ended by itself (1)'] },
+  'serves again': { servedAfterRecovery: 0 },
 };
 
 describe('the soak’s checks', () => {
   it('find nothing where all promises are kept', () => {
     assert.deepEqual(rulesOf({}), []);
-    assert.deepEqual(rulesOf({ attempts: [streamOf(ALL, 'whole')] }), []);
-    assert.deepEqual(rulesOf({ attempts: [streamOf([1, 2], 'broken')] }), []);
+    assert.deepEqual(rulesOf({ attempts: [streamAttempt(ALL_EVENT_IDS, 'whole')] }), []);
+    assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2], 'broken')] }), []);
   });
 
   it('find each broken promise', () => {
-    Object.entries(BROKEN).forEach(([rule, record]) => {
+    Object.entries(VIOLATIONS).forEach(([rule, record]) => {
       assert.deepEqual(rulesOf(record), [rule]);
     });
   });
 
   it('find a stream with an event missing, twice, or a false end', () => {
     const rule = ['own whole answer'];
-    assert.deepEqual(rulesOf({ attempts: [streamOf([1, 3], 'broken')] }), rule);
-    assert.deepEqual(rulesOf({ attempts: [streamOf([1, 2, 2], 'broken')] }), rule);
-    assert.deepEqual(rulesOf({ attempts: [streamOf([1, 2], 'whole')] }), rule);
+    assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 3], 'broken')] }), rule);
+    assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2, 2], 'broken')] }), rule);
+    assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2], 'whole')] }), rule);
   });
 
   // Guards against: a success without the head of the engine that ran it, whose body is right, goes unseen.
   it('find a success without its seal or id, and one of another engine or request', () => {
-    const bare = ['a success bears its seal and id'];
+    const unsealed = ['a success bears its seal and id'];
     const foreign = ['a success is of the engine that ran it'];
     const rest = resumedStream([], STREAM_EVENTS).attempts ?? [];
-    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD, echoedId: null }] }), bare);
-    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD, echoedId: 's2' }] }), foreign);
-    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD, seal: 'x' }] }), foreign);
+    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD_ATTEMPT, echoedId: null }] }), unsealed);
+    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD_ATTEMPT, echoedId: 's2' }] }), foreign);
+    assert.deepEqual(rulesOf({ attempts: [{ ...HOLD_ATTEMPT, seal: 'x' }] }), foreign);
     assert.deepEqual(rulesOf({ answers: [{ ...ANSWER, status: 500 }] }), foreign);
-    assert.deepEqual(rulesOf({ attempts: [{ ...streamOf([1], 'broken'), seal: null }] }), bare);
+    assert.deepEqual(
+      rulesOf({ attempts: [{ ...streamAttempt([1], 'broken'), seal: null }] }),
+      unsealed,
+    );
     const headless = rest
       .slice(1)
-      .map((item) => ({ ...item, id: 's1', seal: null, resumes: null }));
-    assert.deepEqual(rulesOf({ attempts: headless }), bare);
+      .map((item) => ({ ...item, id: 's1', seal: null, resumedFrom: null }));
+    assert.deepEqual(rulesOf({ attempts: headless }), unsealed);
   });
 
   // Guards against: a failure of one engine is passed on with the seal of another, changed, or to another's caller.
   it('find a failure that isn’t its engine’s own', () => {
     const rule = ['a sealed failure is its engine’s own'];
-    const [failed] = FAILED.attempts ?? [];
+    const [failed] = FAILURE.attempts ?? [];
     const changed = (change: Partial<SoakAttempt>): Partial<SoakRecord> => ({
-      ...FAILED,
+      ...FAILURE,
       attempts: failed === undefined ? [] : [{ ...failed, ...change }],
     });
-    assert.deepEqual(rulesOf(FAILED), []);
+    assert.deepEqual(rulesOf(FAILURE), []);
     assert.deepEqual(rulesOf(changed({ seal: null, echoedId: null, body: '' })), []);
     assert.deepEqual(rulesOf(changed({ seal: sealOf('i-2') })), rule);
     assert.deepEqual(rulesOf(changed({ status: 502 })), rule);
@@ -197,12 +219,14 @@
 
   // Guards against: the parts of a resumed stream, each right by itself, don't join.
   it('find a resumed stream whose parts don’t join', () => {
-    assert.deepEqual(rulesOf(resumedStream(ALL.slice(3))), []);
-    assert.deepEqual([...rulesOf(resumedStream(ALL.slice(4)))].sort(), [
+    assert.deepEqual(rulesOf(resumedStream(ALL_EVENT_IDS.slice(3))), []);
+    assert.deepEqual([...rulesOf(resumedStream(ALL_EVENT_IDS.slice(4)))].sort(), [
       'a resumed stream goes on',
       'own whole answer',
     ]);
-    assert.deepEqual(rulesOf(resumedStream(ALL.slice(2), 2)), ['a resumed stream goes on']);
+    assert.deepEqual(rulesOf(resumedStream(ALL_EVENT_IDS.slice(2), 2)), [
+      'a resumed stream goes on',
+    ]);
     assert.deepEqual(rulesOf(resumedStream([], STREAM_EVENTS)), ['a resumed stream goes on']);
   });
 
@@ -210,15 +234,15 @@
     ['a limit is kept', 'a rest is kept', 'an engine’s word that it leaves is kept'].forEach(
       (rule) =>
         ['entry-1', 'endpoint-1'].forEach((target) => {
-          const events = [{ kind: 'entryPause', target, from: 200, until: 800 }];
-          assert.deepEqual(rulesOf({ ...BROKEN[rule], events }), []);
+          const injectedFaults = [{ kind: 'entryPause', target, from: 200, until: 800 }];
+          assert.deepEqual(rulesOf({ ...VIOLATIONS[rule], injectedFaults }), []);
         }),
     );
   });
 
   it('find a request that was passed on and got nothing where its entry host is stopped', () => {
-    const record = BROKEN['a graceful stop cuts nothing off'];
-    const nothing = BROKEN['what is passed on is answered'];
+    const record = VIOLATIONS['a graceful stop cuts nothing off'];
+    const nothing = VIOLATIONS['what is passed on is answered'];
     assert.deepEqual(rulesOf({ ...record, ...nothing }), [
       'what is passed on is answered',
       'a graceful stop cuts nothing off',
@@ -226,20 +250,23 @@
   });
 
   it('leave out what an entry host that stood still sends to a leaving engine', () => {
-    const record = BROKEN['a leaving engine gets nothing new'];
-    const from = RUN.at - DRAIN_MS;
-    const pause = { kind: 'entryPause', from, until: RUN.at - 1 };
-    assert.deepEqual(rulesOf({ ...record, events: [{ ...pause, target: 'entry-1' }] }), []);
+    const record = VIOLATIONS['a leaving engine gets nothing new'];
+    const from = EXECUTION.at - DRAIN_TIMEOUT_MS;
+    const pause = { kind: 'entryPause', from, until: EXECUTION.at - 1 };
+    assert.deepEqual(rulesOf({ ...record, injectedFaults: [{ ...pause, target: 'entry-1' }] }), []);
     ['entry-2', 'engine-1', 'control-1'].forEach((target) => {
-      assert.equal(rulesOf({ ...record, events: [{ ...pause, target }] }).length, 1);
+      assert.equal(rulesOf({ ...record, injectedFaults: [{ ...pause, target }] }).length, 1);
     });
     const before = { ...pause, target: 'entry-1', from: from - 3_000, until: from - 2_000 };
-    assert.equal(rulesOf({ ...record, events: [before] }).length, 1);
+    assert.equal(rulesOf({ ...record, injectedFaults: [before] }).length, 1);
   });
 
   it('leave out what an unplanned fault beside a stop may cut off', () => {
-    const record = BROKEN['a graceful stop cuts nothing off'];
+    const record = VIOLATIONS['a graceful stop cuts nothing off'];
     const kill = { kind: 'engineCrash', target: 'engine-1', from: 900, until: 1_000 };
-    assert.deepEqual(rulesOf({ ...record, events: [...(record?.events ?? []), kill] }), []);
+    assert.deepEqual(
+      rulesOf({ ...record, injectedFaults: [...(record?.injectedFaults ?? []), kill] }),
+      [],
+    );
   });
 });
--- a/soak/__tests__/unit/SoakConnection.test.ts
+++ b/soak/__tests__/unit/SoakConnection.test.ts
@@ -3,44 +3,44 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { after, before, describe, it } from 'node:test';
 import { setTimeout as delay } from 'node:timers/promises';
-import { SoakConnection, type SoakCall, type SoakExchange } from '../../SoakConnection.js';
+import { SoakConnection, type SoakCall, type SoakCallResult } from '../../SoakConnection.js';
 import { streamEvent } from '../../SoakStream.js';
 
 const CALL: SoakCall = {
   path: '/ask/x',
   headers: { host: 'a' },
   body: 'question',
-  patienceMs: 300,
-  leaveAfter: null,
+  timeoutMs: 300,
+  abortAfter: null,
 };
 
 const HEAD = 'HTTP/1.1 200 OK\r\nX-Id: s1\r\n';
 
-const FRAMED = `${HEAD}Content-Length: 6\r\n\r\nanswer`;
+const PLAIN_ANSWER = `${HEAD}Content-Length: 6\r\n\r\nanswer`;
 
 function chunk(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-const CHUNKED = `${HEAD}Transfer-Encoding: chunked\r\n\r\n${chunk(streamEvent('s1', 1))}${chunk(streamEvent('s1', 2))}`;
+const CHUNKED_START = `${HEAD}Transfer-Encoding: chunked\r\n\r\n${chunk(streamEvent('s1', 1))}${chunk(streamEvent('s1', 2))}`;
 
 describe('a connection of the soak’s callers', () => {
   let onRequest: (socket: Socket) => void = () => undefined;
-  let asked = '';
+  let received = '';
   let server: Server;
-  let place = { host: '127.0.0.1', port: 0 };
+  let address = { host: '127.0.0.1', port: 0 };
 
   before(async () => {
     server = createServer({ allowHalfOpen: true }, (socket) => {
       socket.on('error', () => socket.destroy());
       socket.on('data', (data) => {
-        asked += data.toString();
+        received += data.toString();
         onRequest(socket);
       });
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
-    place = { host: '127.0.0.1', port: (server.address() as AddressInfo).port };
+    address = { host: '127.0.0.1', port: (server.address() as AddressInfo).port };
   });
 
   after(() => server.close());
@@ -48,62 +48,65 @@
   async function ask(
     answer: (socket: Socket) => void,
     call: Partial<SoakCall> = {},
-  ): Promise<{ readonly connection: SoakConnection; readonly result: SoakExchange }> {
+  ): Promise<{ readonly connection: SoakConnection; readonly result: SoakCallResult }> {
     onRequest = answer;
-    asked = '';
-    const connection = new SoakConnection(place);
+    received = '';
+    const connection = new SoakConnection(address);
     const result = await connection.call({ ...CALL, ...call });
     return { connection, result };
   }
 
   it('reads an answer in any pieces, and is used again', async () => {
     const { connection, result } = await ask((socket) => {
-      [...Buffer.from(FRAMED)].forEach((byte, i) =>
+      [...Buffer.from(PLAIN_ANSWER)].forEach((byte, i) =>
         setTimeout(() => socket.write(Buffer.of(byte)), i),
       );
     });
-    assert.equal(asked, 'POST /ask/x HTTP/1.1\r\nhost: a\r\ncontent-length: 8\r\n\r\nquestion');
-    assert.deepEqual([result.end, result.status, result.body], ['whole', 200, 'answer']);
+    assert.equal(received, 'POST /ask/x HTTP/1.1\r\nhost: a\r\ncontent-length: 8\r\n\r\nquestion');
+    assert.deepEqual([result.outcome, result.status, result.body], ['whole', 200, 'answer']);
     assert.equal(result.header('x-id'), 's1');
-    onRequest = (socket) => socket.write(`${CHUNKED}0\r\n\r\n`);
+    onRequest = (socket) => socket.write(`${CHUNKED_START}0\r\n\r\n`);
     const next = await connection.call(CALL);
-    assert.deepEqual([next.end, next.body], ['whole', streamEvent('s1', 1) + streamEvent('s1', 2)]);
+    assert.deepEqual(
+      [next.outcome, next.body],
+      ['whole', streamEvent('s1', 1) + streamEvent('s1', 2)],
+    );
     connection.close();
   });
 
   it('takes an answer without a length as whole at its end, not at a reset', async () => {
-    const open = `${HEAD}\r\nanswer`;
-    const { result } = await ask((socket) => socket.end(open));
-    assert.deepEqual([result.end, result.body], ['whole', 'answer']);
+    const unframed = `${HEAD}\r\nanswer`;
+    const { result } = await ask((socket) => socket.end(unframed));
+    assert.deepEqual([result.outcome, result.body], ['whole', 'answer']);
     const broken = await ask((socket) => {
-      socket.write(open);
+      socket.write(unframed);
       setTimeout(() => socket.resetAndDestroy(), 20);
     });
-    assert.equal(broken.result.end, 'broken');
+    assert.equal(broken.result.outcome, 'broken');
   });
 
   // Guards against: an answer that ends early looks complete.
   it('takes an answer that ends before its last byte as broken, and leaves the connection open', async () => {
-    const { connection, result } = await ask((socket) => socket.end(CHUNKED));
-    assert.equal(result.end, 'broken');
+    const { connection, result } = await ask((socket) => socket.end(CHUNKED_START));
+    assert.equal(result.outcome, 'broken');
     assert.ok(connection.isOpen);
-    const short = await ask((socket) => socket.end(FRAMED.slice(0, -1)));
-    assert.equal(short.result.end, 'broken');
+    const short = await ask((socket) => socket.end(PLAIN_ANSWER.slice(0, -1)));
+    assert.equal(short.result.outcome, 'broken');
     [connection, short.connection].forEach((item) => item.close());
   });
 
   // Guards against: bytes behind an answer, or on a connection with no request waiting, go unseen.
   it('shows bytes that belong to no answer', async () => {
-    const { connection, result } = await ask((socket) => socket.write(`${FRAMED}more`));
+    const { connection, result } = await ask((socket) => socket.write(`${PLAIN_ANSWER}more`));
     assert.deepEqual([result.body, result.stray], ['answer', 'more']);
     connection.close();
     const late = await ask((socket) => {
-      socket.write(FRAMED);
-      setTimeout(() => socket.write(FRAMED), 20);
+      socket.write(PLAIN_ANSWER);
+      setTimeout(() => socket.write(PLAIN_ANSWER), 20);
     });
     await delay(80);
-    onRequest = (socket) => socket.write(FRAMED);
-    assert.equal((await late.connection.call(CALL)).stray, FRAMED);
+    onRequest = (socket) => socket.write(PLAIN_ANSWER);
+    assert.equal((await late.connection.call(CALL)).stray, PLAIN_ANSWER);
     late.connection.close();
     const garbled = await ask((socket) => socket.write('no answer\r\n\r\n'));
     assert.notEqual(garbled.result.stray, '');
@@ -111,12 +114,14 @@
   });
 
   it('is broken off after as many events as its caller wants', async () => {
-    const { connection, result } = await ask((socket) => socket.write(CHUNKED), { leaveAfter: 2 });
-    assert.deepEqual([result.end, connection.isOpen], ['left', false]);
+    const { connection, result } = await ask((socket) => socket.write(CHUNKED_START), {
+      abortAfter: 2,
+    });
+    assert.deepEqual([result.outcome, connection.isOpen], ['left', false]);
   });
 
   it('gives up after its caller’s patience', async () => {
     const { result } = await ask(() => undefined);
-    assert.deepEqual([result.end, result.status], ['deadline', 0]);
+    assert.deepEqual([result.outcome, result.status], ['deadline', 0]);
   });
 });
--- a/soak/__tests__/unit/SoakProxy.test.ts
+++ b/soak/__tests__/unit/SoakProxy.test.ts
@@ -14,11 +14,11 @@
     socket.on('data', (data) => socket.write(data));
   });
   let port = 0;
-  let place: ProxyPort;
+  let proxyPort: ProxyPort;
   const sockets: Socket[] = [];
 
   /** Opens a connection through the proxy; what comes back is kept as text. */
-  async function open(): Promise<{ readonly socket: Socket; readonly heard: () => string }> {
+  async function open(): Promise<{ readonly socket: Socket; readonly received: () => string }> {
     const socket = connect({ host: OUTSIDE, port });
     sockets.push(socket);
     let text = '';
@@ -27,15 +27,15 @@
     });
     socket.on('error', () => undefined);
     await once(socket, 'connect');
-    return { socket, heard: () => text };
+    return { socket, received: () => text };
   }
 
   before(async () => {
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     port = (server.address() as AddressInfo).port;
-    place = { host: 'h', port, inside: '127.0.0.1', outside: OUTSIDE };
-    await proxy.listen([place]);
+    proxyPort = { host: 'h', port, inside: '127.0.0.1', outside: OUTSIDE };
+    await proxy.listen([proxyPort]);
   });
 
   after(() => {
@@ -45,45 +45,45 @@
   });
 
   it('holds one direction back and lets it go on in order', async () => {
-    const { socket, heard } = await open();
+    const { socket, received } = await open();
     socket.write('a');
     await delay(50);
     proxy.setMode('h', 'cutInward');
     socket.write('b');
     await delay(100);
-    assert.equal(heard(), 'a');
+    assert.equal(received(), 'a');
     proxy.setMode('h', 'delay');
     await delay(20);
     proxy.setMode('h', 'pass');
     socket.write('c');
     await delay(250);
-    assert.equal(heard(), 'abc');
+    assert.equal(received(), 'abc');
   });
 
   it('silences open connections for good, not new ones', async () => {
-    const { socket, heard } = await open();
+    const { socket, received } = await open();
     await delay(50);
     proxy.silence('h');
     socket.write('a');
     const next = await open();
     next.socket.write('b');
     await delay(100);
-    assert.equal(heard(), '');
-    assert.equal(next.heard(), 'b');
+    assert.equal(received(), '');
+    assert.equal(next.received(), 'b');
   });
 
   // Guards against: an engine that is gone looks alive to whoever connects, since its proxy still takes connections.
   it('refuses new connections for a while, and leaves open ones', async () => {
-    const { socket, heard } = await open();
-    await proxy.setRefusing(place, true);
+    const { socket, received } = await open();
+    await proxy.setRefusing(proxyPort, true);
     await assert.rejects(open(), { code: 'ECONNREFUSED' });
     socket.write('a');
-    await Promise.all([proxy.setRefusing(place, false), proxy.setRefusing(place, false)]);
+    await Promise.all([proxy.setRefusing(proxyPort, false), proxy.setRefusing(proxyPort, false)]);
     const next = await open();
     next.socket.write('b');
     await delay(100);
-    assert.equal(heard(), 'a');
-    assert.equal(next.heard(), 'b');
+    assert.equal(received(), 'a');
+    assert.equal(next.received(), 'b');
   });
 
   it('resets connections', async () => {
