--- a/soak/SoakAnswerChecks.ts
+++ b/soak/SoakAnswerChecks.ts
@@ -1,4 +1,4 @@
-/** Whose answers callers got, and whether they are whole. Pure. */
+/** Checks that callers got complete answers of the engines that ran their requests. Pure. */
 import { engineOfSeal, failureBody } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import { overlapsUnplannedFault } from './SoakFaultOverlap.js';
 import { eventIdsOf, STREAM_EVENTS, expectedBody } from './SoakStream.js';
@@ -21,7 +21,7 @@
   return `${id} at ${entry}, ${status} ${outcome}, seal ${seal}, for ${echoedId}: ${JSON.stringify(body)}`;
 }
 
-/** A success is the engine's whole answer to this very request; a cut one is a beginning of it. */
+/** A success is the complete answer to its own request; one that was cut off is a prefix of it. */
 const ownWholeAnswer: Check = ({ attempts }) =>
   attempts.filter(isSuccess).flatMap((attempt) => {
     const { outcome, body } = attempt;
@@ -35,7 +35,7 @@
     .filter((attempt) => isSuccess(attempt) && (attempt.seal === null || attempt.echoedId === null))
     .map((attempt) => finding('a success bears its seal and id', describe(attempt)));
 
-/** Whether an engine gave an answer with this status, as the seal says. */
+/** Whether the engine that the seal names gave this request an answer with this status. */
 function wasGivenByEngine({ answers }: SoakRecord, { id, seal, status }: SoakAttempt): boolean {
   const engine = seal === null ? null : engineOfSeal(seal);
   return answers.some(
@@ -75,7 +75,7 @@
       finding('nothing but answers', `${id} at ${entry}: ${JSON.stringify(stray)}`),
     );
 
-/** Parts of a stream that was resumed, joined: no event is missing, none comes twice. */
+/** The joined parts of a resumed stream have no missing and no duplicate event. */
 const resumedStreamsComplete: Check = ({ attempts }) => {
   const byId = new Map(attempts.map((attempt) => [attempt.id, attempt]));
   const resumedIds = new Set(attempts.map(({ resumedFrom }) => resumedFrom));
@@ -99,7 +99,7 @@
     });
 };
 
-/** What was passed on to an engine ends with an answer, or a beginning of it. */
+/** A request that an engine ran gets at least the head of an answer, unless an unplanned fault overlaps it. */
 const forwardedIsAnswered: Check = (record, executionsById) =>
   record.attempts
     .filter(
@@ -121,7 +121,7 @@
   forwardedIsAnswered,
 ];
 
-/** All answers that broke a promise. */
+/** All answers that violate a guarantee. */
 export function checkAnswers(
   record: SoakRecord,
   executionsById: ReadonlyMap<string, readonly SoakExecution[]>,
--- a/soak/SoakAnswerReader.ts
+++ b/soak/SoakAnswerReader.ts
@@ -1,4 +1,4 @@
-/** Reads one answer off a connection, piece by piece. Pure; bodies are ASCII in a soak run. */
+/** Incremental parser of one HTTP/1.1 answer. Pure; bodies are ASCII in a soak run. */
 
 type State = 'head' | 'length' | 'size' | 'chunk' | 'trailer' | 'untilClose' | 'whole' | 'garbled';
 
@@ -8,7 +8,7 @@
 
 const LINE_END = '\r\n';
 
-/** One answer; what follows it stays unread. */
+/** Parses one answer; bytes behind it stay unparsed. */
 export class SoakAnswerReader {
   #state: State = 'head';
 
@@ -22,7 +22,7 @@
 
   #headers: ReadonlyMap<string, string> = new Map();
 
-  /** 0 before the head. */
+  /** 0 until the head is complete. */
   get status(): number {
     return this.#status;
   }
@@ -35,12 +35,12 @@
     return this.#state === 'whole';
   }
 
-  /** Whether something came that is no answer in the protocol. */
+  /** Whether something was received that isn't valid HTTP/1.1. */
   get isMalformed(): boolean {
     return this.#state === 'garbled';
   }
 
-  /** What has come behind the answer. */
+  /** Text received behind the answer; empty until the answer is complete. */
   get trailingText(): string {
     return this.isComplete ? this.#text : '';
   }
@@ -57,14 +57,14 @@
     }
   }
 
-  /** The other end sends nothing more: the end of an answer without a length. */
+  /** The other end has closed its side, which completes an answer without a length. */
   end(): void {
     if (this.#state === 'untilClose') {
       this.#state = 'whole';
     }
   }
 
-  /** Reads the next part, if it is there. */
+  /** Parses the next part, if it has arrived; false if more text is needed or nothing is left to parse. */
   #advance(): boolean {
     const steps: Readonly<Record<State, () => boolean>> = {
       head: () => this.#onHead(),
@@ -119,7 +119,7 @@
     return length === null ? 'untilClose' : 'length';
   }
 
-  /** Takes bytes of the body until none are left of its part. */
+  /** Moves received text to the body; true, and in state `next`, once all of the current part is there. */
   #readBody(next: State): boolean {
     const part = this.#text.slice(0, this.#remaining);
     this.#body += part;
--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -1,4 +1,4 @@
-/** Callers of a soak run: they keep connections until the process at the other end is gone, and come back. */
+/** Callers of a soak run: they reuse connections while these are open, and resume streams at other entry hosts. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { readHead } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import { callerHeaders } from '../platform/__tests__/utils/StandInPlatform.js';
@@ -6,42 +6,42 @@
 import { eventIdsOf, STREAM_EVENTS } from './SoakStream.js';
 import type { SoakAttempt, SoakRequestKind } from './SoakTypes.js';
 
-/** A caller waits this long for its whole answer, ms, and a little longer for the word that it is late. */
+/** Deadline that a caller sends with its request, ms; it waits a little longer for the reply that it has passed. */
 const DEADLINE_MS = 4_000;
 const CALL_TIMEOUT_MS = DEADLINE_MS + 500;
 
-/** Pause between two requests of a caller, ms. */
+/** Mean pause between two requests of a caller, ms. */
 const MEAN_PAUSE_MS = 60;
 
-/** Requests of a caller at one entry host before it goes to another. */
+/** Requests that a caller sends to one entry host before it draws the next host. */
 const REQUESTS_PER_VISIT = 8;
 
-/** Share of streams that their callers break off, and share of these that are broken off after the last event. */
+/** Share of streams that their callers abort, and share of these that are aborted after the last event. */
 const ABORT_SHARE = 0.25;
 const ABORT_AFTER_LAST_SHARE = 0.4;
 
-/** Times that a caller comes back for one stream. */
+/** How often a caller resumes one stream at most. */
 const MAX_RESUMES = 5;
 
-/** Where callers send to. */
+/** An entry host's name and the address that callers connect to. */
 export interface SoakEntry {
   readonly name: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** What the callers need. */
+/** Number of callers, where they send, and their sources of keys, randomness and time. */
 export interface CallerOptions {
   readonly count: number;
   readonly entries: readonly SoakEntry[];
-  /** Keys that may be used now; empty for none yet. */
+  /** Keys that callers may draw from now; empty if there is none yet. */
   readonly keys: () => readonly string[];
   readonly random: () => number;
   readonly now: () => number;
   readonly signal: AbortSignal;
 }
 
-/** One request as its caller has it in mind. */
+/** What a caller wants to send. */
 interface RequestSpec {
   readonly kind: SoakRequestKind;
   readonly key: string;
@@ -56,7 +56,7 @@
   return items[Math.floor(random * items.length)];
 }
 
-/** Whether a stream isn't at its end for its caller, though it may be for all others. */
+/** Whether the caller of a stream resumes it: the answer was cut off or aborted, or has a status of 500 or above. */
 function isResumable({ kind, outcome, status }: SoakAttempt): boolean {
   const isIncomplete = outcome === 'broken' || outcome === 'left' || status >= 500;
   return kind === 'stream' && isIncomplete;
@@ -78,7 +78,7 @@
     return this.#attempts;
   }
 
-  /** Calls until the signal, then waits for what is in progress. */
+  /** Sends requests until the signal aborts, then waits for those in progress. */
   async run(): Promise<void> {
     const { count } = this.#options;
     await Promise.all(Array.from({ length: count }, async () => this.#runCaller()));
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Sends some requests to one entry host, on one connection as long as it bears. */
+  /** Sends some requests to one entry host, on one connection as long as it stays open. */
   async #visit(entry: SoakEntry): Promise<void> {
     const { keys, random, signal } = this.#options;
     let connection = new SoakConnection(entry);
@@ -117,7 +117,7 @@
     connection.close();
   }
 
-  /** Comes back for the rest of a stream, on new connections at other entry hosts. */
+  /** Resumes a stream until it is complete, on new connections to other entry hosts. */
   async #resumeStream(first: SoakAttempt): Promise<void> {
     const { entries, random, signal } = this.#options;
     let last = first;
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Events of the rest of a stream after which its caller breaks it off; null for never. */
+  /** Draws the number of further events after which the caller aborts a stream; null for never. */
   #abortAfter(kind: SoakRequestKind, lastEventId: number): number | null {
     const { random } = this.#options;
     const remaining = STREAM_EVENTS - lastEventId;
@@ -151,7 +151,7 @@
     return random() < ABORT_AFTER_LAST_SHARE ? remaining : 1 + Math.floor(random() * remaining);
   }
 
-  /** Sends one and the same request to each entry host at once; it ends engines that run it. */
+  /** Sends the same request, which crashes engines that run it, to all entry hosts at once. */
   async callFatal(content: string): Promise<void> {
     const { entries, keys } = this.#options;
     const [key] = keys();
--- a/soak/SoakChecks.ts
+++ b/soak/SoakChecks.ts
@@ -1,26 +1,26 @@
-/** The promises, checked on what callers and engines saw. Pure: a record in, findings out. */
+/** Checks the system's guarantees on the record of a soak run. Pure: a record in, findings out. */
 import { checkAnswers } from './SoakAnswerChecks.js';
 import { overlapsUnplannedFault } from './SoakFaultOverlap.js';
 import { checkRelief, hadFault } from './SoakRelief.js';
 import type { SoakFinding, SoakRecord, SoakExecution } from './SoakTypes.js';
 
-/** A withdrawn key must not be served for requests sent this long after the acknowledgement, ms. */
+/** No request with a revoked key may run that is sent more than this long after the acknowledgement, ms. */
 export const REVOKE_TIMEOUT_MS = 5_000;
 
-/** An engine that leaves must get nothing new this long after the acknowledgement, ms. */
+/** A draining engine must get no new request later than this after the acknowledgement, ms. */
 export const DRAIN_TIMEOUT_MS = 2_000;
 
-/** A key is known everywhere this long after the acknowledgement of its version, ms. */
+/** A key is known at all entry hosts this long after the acknowledgement of its version, ms. */
 const APPLY_TIMEOUT_MS = 2_000;
 
-/** Engines that a request may end, and how often it may run once that is known. */
+/** Crashes after which a request is quarantined, and how often it may still run once that has propagated. */
 const QUARANTINE_CRASHES = 3;
 const MAX_LATE_EXECUTIONS = 3;
 
-/** Time that the news of an end may take, ms. */
+/** Time for a crash to be reported to all entry hosts, ms. */
 const PROPAGATION_MS = 3_000;
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and never will. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 function finding(rule: string, detail: string): SoakFinding {
@@ -64,7 +64,7 @@
       : [];
   });
 
-/** A key that was never withdrawn, and is known everywhere, isn't refused. */
+/** A key that is known at all entry hosts and was never revoked isn't refused. */
 const validKeysAccepted: Check = ({ attempts, revokedKeys }) =>
   attempts.flatMap(({ id, key, status, entry }) => {
     const revoked = revokedKeys.some((item) => item.key === key);
@@ -73,7 +73,7 @@
       : [];
   });
 
-/** Entry hosts to which something was done since the acknowledgement are left out: they may not have heard of it. */
+/** Leaves out entry hosts that had a fault since the acknowledgement: they may not have been notified of the drain. */
 const noRequestsAfterDrain: Check = (record) => {
   const { attempts, drains, executions } = record;
   const entryOf = new Map(attempts.map(({ id, entry }) => [id, entry]));
@@ -89,7 +89,7 @@
   );
 };
 
-/** A request that an entry host has read is answered whole though the host is stopped. */
+/** A request that an engine ran is answered in full though its entry process was stopped by SIGTERM meanwhile. */
 const gracefulStop: Check = (record, executionsById) =>
   record.attempts.flatMap((attempt) => {
     const { id, entry, sentAt, endedAt, outcome } = attempt;
@@ -120,7 +120,10 @@
         ],
   );
 
-/** What has ended three engines is soon sent to none any more, whoever has died or stood still before. */
+/**
+ * A request that crashed three engines soon reaches no engine any more. Executions during an unplanned fault or shortly
+ * after it don't count.
+ */
 const fatalQuarantined: Check = (record) => {
   const entryOf = new Map(record.attempts.map(({ id, entry }) => [id, entry]));
   const bodies = new Set(record.fatalExecutions.map(({ body }) => body));
@@ -173,12 +176,12 @@
   recovers,
 ];
 
-/** When the newest key of a version may be used: it is in force everywhere by then. */
+/** Time from which the new key of a version may be used: it is in force at all entry hosts by then. */
 export function usableFrom(ackedAt: number): number {
   return ackedAt + APPLY_TIMEOUT_MS;
 }
 
-/** All broken promises in a record. */
+/** All violated guarantees in a record. */
 export function checkRecord(record: SoakRecord): readonly SoakFinding[] {
   const executionsById = new Map<string, SoakExecution[]>();
   record.executions.forEach((execution) =>
--- a/soak/SoakConnection.ts
+++ b/soak/SoakConnection.ts
@@ -1,27 +1,27 @@
-/** A caller's connection to an entry host. It shows what Node's client hides: stray bytes, and what is still open. */
+/** A caller's connection to an entry host. Unlike Node's HTTP client it shows stray bytes and half-open states. */
 import { connect, type Socket } from 'node:net';
 import { SoakAnswerReader } from './SoakAnswerReader.js';
 import { eventIdsOf } from './SoakStream.js';
 import type { SoakOutcome } from './SoakTypes.js';
 
-/** What is sent, and how long and how far the caller reads. */
+/** One request, and how long and how many events of the answer the caller reads. */
 export interface SoakCall {
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
   readonly timeoutMs: number;
-  /** Events after which the caller breaks off; null for never. */
+  /** Events after which the caller aborts; null for never. */
   readonly abortAfter: number | null;
 }
 
-/** What came of it. */
+/** The outcome of a call, with as much of the answer as was received. */
 export interface SoakCallResult {
   readonly outcome: SoakOutcome;
-  /** 0 where no head came. */
+  /** 0 where no head was received. */
   readonly status: number;
   readonly body: string;
   readonly header: (name: string) => string | null;
-  /** Bytes that belong to no answer. */
+  /** Bytes that belong to no answer, as latin1; empty for none. */
   readonly stray: string;
 }
 
@@ -31,7 +31,7 @@
   readonly settle: (outcome: SoakOutcome) => void;
 }
 
-/** Most of stray bytes that is kept. */
+/** Maximum number of stray bytes that a result shows. */
 const MAX_STRAY_BYTES = 200;
 
 function requestTextOf({ path, headers, body }: SoakCall): string {
@@ -51,7 +51,7 @@
   #isClosed = false;
 
   constructor({ host, port }: { readonly host: string; readonly port: number }) {
-    // Half open: that the other end says no more doesn't tell that its process is gone.
+    // Half open: a FIN from the other end doesn't mean that its process has exited.
     this.#socket = connect({ host, port, allowHalfOpen: true, noDelay: true });
     this.#socket.on('data', (data: Buffer) => this.#onData(data.toString('latin1')));
     this.#socket.on('end', () => this.#onEnd());
@@ -69,7 +69,7 @@
     this.#socket.destroy();
   }
 
-  /** Sends one request and reads what comes, until its end, a break, enough events or the end of patience. */
+  /** Sends one request and reads the answer until it is complete, broken, aborted or timed out. */
   async call(call: SoakCall): Promise<SoakCallResult> {
     const reader = new SoakAnswerReader();
     const outcome = await new Promise<SoakOutcome>((resolve) => {
--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -1,4 +1,4 @@
-/** The group of engines of a soak run: they run requests, announce themselves, crash, leave and misbehave. */
+/** The group of stand-in engines of a soak run: they run requests, send heartbeats, crash, drain and misbehave. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { StandInBehaviour } from '../platform/__tests__/utils/StandInAnswers.js';
 import {
@@ -15,16 +15,16 @@
 import { STREAM_EVENTS } from './SoakStream.js';
 import type { SoakEngineCrash } from './SoakTypes.js';
 
-/** Pause between two events of a stream, ms. */
+/** Interval between two events of a stream, ms. */
 const EVENT_INTERVAL_MS = 60;
 
-/** Events after which a stream breaks off, in the middle of the next. */
+/** Events after which a breaking engine resets a stream, in the middle of the next event. */
 const BREAK_AFTER_EVENTS = 4;
 
-/** Delay of an engine that is late, ms. */
+/** Delay of an answer's first byte at a delayed engine, ms. */
 const ANSWER_DELAY_MS = 700;
 
-/** The engines. */
+/** The engines, one for each endpoint host; `n` is the number of the host, from 1. */
 export class SoakEngines {
   readonly group: StandInGroup;
 
@@ -34,7 +34,7 @@
 
   readonly answers: SeenAnswer[] = [];
 
-  /** Engines that requests ended. */
+  /** Engines that requests crashed. */
   readonly crashes: SoakEngineCrash[] = [];
 
   readonly #platform: StandInPlatform;
@@ -47,7 +47,7 @@
 
   #isStopped = false;
 
-  /** `setGone` has the port before an engine refuse connections while it is gone. */
+  /** `setRefusing` makes the proxied port of an engine refuse or accept connections. */
   constructor(
     platform: StandInPlatform,
     count: number,
@@ -69,7 +69,7 @@
     this.#engines.forEach((engine) => engine.stop());
   }
 
-  /** Ends an engine with all its connections; the group forms anew. A new incarnation comes later. */
+  /** Stops an engine and its connections, and re-forms the group; starts a new incarnation after `forMs`. */
   async crash(n: number, forMs: number, wait: (ms: number) => Promise<void>): Promise<void> {
     this.#engines.get(n)?.stop();
     await this.#setRefusing(n, true);
@@ -78,7 +78,7 @@
     await this.#startEngine(n);
   }
 
-  /** Says that an engine leaves; its id, and when that was acknowledged; null if it wasn't. */
+  /** Reports an engine as draining; its id, and when that was acknowledged, or null if it wasn't. */
   async drain(n: number, now: () => number): Promise<{ engine: string; ackedAt: number } | null> {
     const engine = this.#engines.get(n);
     if (engine === undefined) {
@@ -89,7 +89,7 @@
     return acked ? { engine: engine.id, ackedAt: now() } : null;
   }
 
-  /** Replaces an engine that has left by a new incarnation. */
+  /** Replaces a drained engine by a new incarnation. */
   async replace(n: number): Promise<void> {
     await this.#startEngine(n);
   }
@@ -114,7 +114,7 @@
     });
   }
 
-  /** Has an engine give one kind of unusual answers, or no longer. */
+  /** Turns one kind of unusual answers of an engine on or off. */
   setUnusualAnswer(n: number, kind: SoakUnusualAnswer, isOn: boolean): void {
     this.#change(n, ({ behaviour }) => {
       if (kind === 'extra' || kind === 'resetUnframed') {
@@ -127,7 +127,7 @@
     });
   }
 
-  /** Has an engine ask for relief in its answers, until the result is called; its id. */
+  /** Makes an engine request relief in its answers until `end` is called; returns its id too. */
   startRelief(
     n: number,
     relief: Partial<StandInBehaviour>,
@@ -147,7 +147,7 @@
     }
   }
 
-  /** An engine that a request has ended comes back, unless something else has replaced it meanwhile. */
+  /** Restarts an engine that a request crashed, unless it has been replaced meanwhile. */
   async #restart(n: number, crashed: StandInEngine): Promise<void> {
     await this.#setRefusing(n, true);
     this.group.lockstep.reform();
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Starts an engine in the place of whatever is there: two disturbances of one engine may overlap. */
+  /** Starts an engine, and stops the one that it replaces: two faults of one engine may overlap. */
   async #startEngine(n: number): Promise<void> {
     this.#engines.get(n)?.stop();
     this.#incarnation += 1;
--- a/soak/SoakFaultOverlap.ts
+++ b/soak/SoakFaultOverlap.ts
@@ -1,11 +1,11 @@
-/** When a system may cut answers off. Pure. */
+/** Tells when faults may excuse answers that were cut off. Pure. */
 import { UNUSUAL_ANSWERS } from './SoakUnusualAnswers.js';
 import type { SoakAttempt, SoakRecord } from './SoakTypes.js';
 
-/** After an unplanned disturbance cut answers are its own for this long, ms. */
+/** Answers cut off up to this long after an unplanned fault are attributed to it, ms. */
 const AFTERMATH_MS = 3_000;
 
-/** Kinds of events that a system must bear without cutting off an answer. */
+/** Kinds of faults during which the system must not cut off an answer. */
 const PLANNED_KINDS = new Set<string>([
   'entryTerm',
   'hangUp',
@@ -16,7 +16,7 @@
   ...UNUSUAL_ANSWERS.filter((kind) => kind !== 'cutLast'),
 ]);
 
-/** Whether anything but planned work disturbed the system while an attempt ran, or shortly before. */
+/** Whether an unplanned fault or an engine crash overlaps an attempt, or ended shortly before it. */
 export function overlapsUnplannedFault(
   { injectedFaults, engineCrashes }: Pick<SoakRecord, 'injectedFaults' | 'engineCrashes'>,
   { sentAt, endedAt }: Pick<SoakAttempt, 'sentAt' | 'endedAt'>,
--- a/soak/SoakFaults.ts
+++ b/soak/SoakFaults.ts
@@ -1,4 +1,4 @@
-/** How each kind of disturbance is carried out, from outside the processes. */
+/** Injects each kind of fault, from outside the processes. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { StandInPlatform } from '../platform/__tests__/utils/StandInPlatform.js';
 import type { SoakEngines } from './SoakEngines.js';
@@ -8,7 +8,7 @@
 import type { SoakFault, SoakFaultKind } from './SoakSchedule.js';
 import type { SoakDrain } from './SoakTypes.js';
 
-/** What a disturbance may use. */
+/** What a fault injector may use. */
 export interface FaultContext {
   readonly fault: SoakFault;
   readonly platform: StandInPlatform;
@@ -20,7 +20,7 @@
   readonly runExclusively: (names: readonly string[], task: () => Promise<void>) => Promise<void>;
 }
 
-/** Number of a host, by its name. */
+/** Number at the end of a host's name, as in `entry-2`. */
 function hostNumberOf(target: string): number {
   return Number(target.split('-')[1]);
 }
@@ -47,7 +47,7 @@
 
 const CONTROL_HOSTS = ['control-1', 'control-2', 'control-3'];
 
-/** Holds a host's data back, or delays it, for a while. */
+/** Cuts or delays a host's data for the duration of the fault. */
 function withProxyMode(mode: ProxyMode): FaultInjector {
   return async ({ fault: { target, forMs }, proxy, runExclusively }) =>
     runExclusively([`link of ${target}`], async () => {
@@ -57,7 +57,7 @@
     });
 }
 
-/** Lets an engine misbehave for a while. */
+/** Makes an engine misbehave for the duration of the fault. */
 function misbehave(set: (engines: SoakEngines, n: number, on: boolean) => void): FaultInjector {
   return async ({ fault: { target, forMs }, engines }) => {
     set(engines, hostNumberOf(target), true);
@@ -66,7 +66,7 @@
   };
 }
 
-/** Unusual answers of an engine, for a while. */
+/** Unusual answers of an engine, for the duration of the fault. */
 const UNUSUAL_ANSWER_INJECTORS = Object.fromEntries(
   UNUSUAL_ANSWERS.map((kind) => [
     kind,
@@ -74,7 +74,7 @@
   ]),
 ) as Record<SoakUnusualAnswer, FaultInjector>;
 
-/** Each kind of disturbance; resolves once it is over. */
+/** Injector of each kind of fault; it resolves once the fault is over. */
 export const FAULT_INJECTORS: Readonly<Record<SoakFaultKind | SoakUnusualAnswer, FaultInjector>> = {
   ...UNUSUAL_ANSWER_INJECTORS,
   entryKill: kill,
@@ -87,7 +87,8 @@
     }),
   controlKill: kill,
   controlPause: pause,
-  // All three are kept from being ended beside it: a second loss would lose more disks than is borne.
+  // Reserves all three hosts, so that no other control process is killed meanwhile: a second loss could exceed the
+  // number of lost disks that is tolerated.
   controlWipe: async ({ fault: { target, forMs }, platform, runExclusively }) =>
     runExclusively(CONTROL_HOSTS, async () => {
       await platform.signal(target, 'SIGKILL');
--- a/soak/SoakMain.ts
+++ b/soak/SoakMain.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seed 1 --runs 10`: plays soak runs and prints one JSON line each. */
+/** `npm run soak -- --seed 1 --runs 10`: does soak runs and prints one JSON line for each. */
 import { Command, Option, runExit } from 'clipanion';
 import { runSoak, type SoakResult } from './SoakRun.js';
 
@@ -14,27 +14,30 @@
   static override paths = [Command.Default];
 
   static override usage = Command.Usage({
-    description:
-      'plays randomized runs of the real processes under faults, and checks their promises',
+    description: 'runs the real processes under randomized faults and checks their guarantees',
   });
 
   seed = Option.String('--seed', '1', { description: 'seed of the first run' });
 
-  runs = Option.String('--runs', '1', { description: 'how many runs, with seeds that follow' });
+  runs = Option.String('--runs', '1', { description: 'number of runs, with consecutive seeds' });
 
-  seconds = Option.String('--seconds', '20', { description: 'how long each is disturbed' });
+  seconds = Option.String('--seconds', '20', {
+    description: 'time during which each run injects faults',
+  });
 
-  rate = Option.String('--rate', '2', { description: 'disturbances a second' });
+  rate = Option.String('--rate', '2', { description: 'faults per second' });
 
   entries = Option.String('--entries', '3', { description: 'entry hosts' });
 
-  endpoints = Option.String('--endpoints', '4', { description: 'engines, with a process each' });
+  endpoints = Option.String('--endpoints', '4', {
+    description: 'engines, each with an endpoint process',
+  });
 
-  callers = Option.String('--callers', '24', { description: 'callers' });
+  callers = Option.String('--callers', '24', { description: 'concurrent callers' });
 
-  jobs = Option.String('--jobs', '1', { description: 'runs at once' });
+  jobs = Option.String('--jobs', '1', { description: 'runs in parallel' });
 
-  logs = Option.Boolean('--logs', false, { description: 'pass the processes’ logs on' });
+  logs = Option.Boolean('--logs', false, { description: 'print the logs of the processes' });
 
   override async execute(): Promise<number> {
     const firstSeed = parsePositive(this.seed, '--seed');
@@ -46,7 +49,7 @@
     let failed = 0;
     const runSeeds = async (): Promise<void> => {
       for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
-        // Each lane plays one run at a time.
+        // Each worker does one run at a time.
         // eslint-disable-next-line no-await-in-loop
         const result = await this.#run(seed);
         failed += result.findings.length > 0 ? 1 : 0;
--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -1,4 +1,4 @@
-/** The operator of a soak run: submits documents with changing keys, and keeps what was acknowledged. */
+/** The operator of a soak run: submits documents with changing keys, and records what was acknowledged. */
 import {
   postDocument,
   sampleDocument,
@@ -12,7 +12,7 @@
   readonly usableFrom: number;
 }
 
-/** Submits one document after the other. */
+/** Submits documents one after another. */
 export class SoakOperator {
   readonly #platform: StandInPlatform;
 
@@ -26,7 +26,7 @@
 
   #keys: readonly ActiveKey[] = [];
 
-  /** Documents go out one after the other, as a pipeline sends them. */
+  /** Documents are submitted one after another, as a deployment pipeline does. */
   #queue: Promise<void> = Promise.resolve();
 
   constructor(platform: StandInPlatform, now: () => number) {
@@ -42,7 +42,7 @@
     return this.#revokedKeys;
   }
 
-  /** Keys that are in force everywhere, and those withdrawn lately: callers go on using them. */
+  /** Keys for callers: those in force at all entry hosts, twice for weight, and the two that were revoked last. */
   usableKeys(): readonly string[] {
     const now = this.#now();
     const valid = this.#keys.filter((key) => key.usableFrom <= now).map(({ key }) => key);
@@ -50,7 +50,7 @@
     return valid.length === 0 ? [] : [...valid, ...valid, ...revoked];
   }
 
-  /** Adds a key by a new version. */
+  /** Submits a version with one more key. */
   async addKey(): Promise<void> {
     return this.#enqueue(async () => {
       const key = `key-${this.#version + 1}`;
@@ -60,14 +60,14 @@
     });
   }
 
-  /** Takes the oldest key away, unless it is the only one that may be used. */
+  /** Submits a version without the oldest key, unless no other key is usable yet. */
   async revokeOldestKey(): Promise<void> {
     return this.#enqueue(async () => {
       const [oldest, ...rest] = this.#keys;
       if (oldest === undefined || !rest.some((key) => key.usableFrom <= this.#now())) {
         return;
       }
-      // From the sending on nobody can say which of the two is in force.
+      // From now on either version may be in force, so the key is neither usable nor known to be revoked.
       this.#keys = rest;
       this.#revokedKeys.push({ key: oldest.key, ackedAt: Infinity });
       const ackedAt = await this.#submit(rest.map(({ key }) => key));
@@ -81,7 +81,7 @@
     return this.#queue;
   }
 
-  /** Sends a document until it is acknowledged, to one control process after the other. */
+  /** Sends a document to one control process after another until one acknowledges it; resolves with that time. */
   async #submit(keys: readonly string[]): Promise<number> {
     this.#version += 1;
     const version = this.#version;
--- a/soak/SoakProxy.ts
+++ b/soak/SoakProxy.ts
@@ -1,12 +1,12 @@
-/** Loopback proxy before the ports of hosts: it delays, resets, silences connections, or cuts one way. */
+/** Loopback TCP proxy in front of the hosts' ports: delays, resets or silences connections, or cuts one direction. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { resetSocket } from '../src/transport/index.js';
 
-/** What a proxy does to the data of a host. */
+/** What the proxy does to the data of a host. */
 export type ProxyMode = 'pass' | 'delay' | 'cutInward' | 'cutOutward';
 
-/** A port that is stood before. */
+/** A port to proxy: the proxy listens at `outside` and connects to `inside`, both IP addresses. */
 export interface ProxyPort {
   readonly host: string;
   readonly port: number;
@@ -14,7 +14,7 @@
   readonly outside: string;
 }
 
-/** Delay of each piece of data in the mode `delay`, ms: some fifty times that between AZs. */
+/** Delay of each piece of data in the mode `delay`, ms: about fifty times the delay between availability zones. */
 const DELAY_MS = 80;
 
 interface ProxiedConnection {
@@ -38,7 +38,7 @@
   });
 }
 
-/** Proxies before all ports of a run; nothing is lost in it but by a reset or a silence. */
+/** Proxies all ports of a run; it loses data only by a reset or a silence. */
 export class SoakProxy {
   readonly #servers = new Map<string, Server>();
 
@@ -54,17 +54,17 @@
     await Promise.all(ports.map(async (proxyPort) => this.#listen(proxyPort)));
   }
 
-  /** Refuses new connections to a port, as a host does whose process is gone, or takes them again. */
+  /** Refuses new connections to a port, as a host whose process has exited does, or accepts them again. */
   async setRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
     const key = keyOf(proxyPort);
-    // One after the other: a server that is about to listen can't be told so again.
+    // Calls run one after another: `listen` must not be called again while a server is starting to listen.
     const previous = this.#portQueues.get(key) ?? Promise.resolve();
     const queued = previous.then(async () => this.#applyRefusing(proxyPort, refuses));
     this.#portQueues.set(key, queued);
     return queued;
   }
 
-  /** Sets what is done to a host's data; what a cut held back goes on when it ends. */
+  /** Sets the mode of a host; data that a cut held back is forwarded once the cut ends. */
   setMode(host: string, mode: ProxyMode): void {
     this.#modes.set(host, mode);
     this.#connections.forEach((pair) => this.#applyMode(pair));
@@ -78,7 +78,7 @@
     });
   }
 
-  /** Open connections of a host go silent for good; new ones work. */
+  /** Stops forwarding on the open connections of a host for good, without closing them; new ones work. */
   silence(host: string): void {
     this.#connectionsOf(host).forEach((pair) => {
       // eslint-disable-next-line no-param-reassign
@@ -127,7 +127,7 @@
   }
 
   #forward(pair: ProxiedConnection, from: Socket, to: Socket): void {
-    // One after the other: what comes after a delay has ended must not overtake what was delayed.
+    // Queued, so that data received after a delay has ended doesn't overtake delayed data.
     let previous = Promise.resolve();
     const enqueue = (task: () => void): void => {
       const delayMs = this.#modes.get(pair.host) === 'delay' ? DELAY_MS : 0;
@@ -150,7 +150,7 @@
     });
   }
 
-  /** Pauses each direction that the mode, or the pair's own silence, holds back. */
+  /** Pauses or resumes each direction, by the host's mode and the connection's own silence. */
   #applyMode({ host, caller, callee, silent }: ProxiedConnection): void {
     const mode = this.#modes.get(host) ?? 'pass';
     const setPaused = (socket: Socket, isPaused: boolean): void => {
--- a/soak/SoakRegressions.ts
+++ b/soak/SoakRegressions.ts
@@ -1,4 +1,4 @@
-/** Seeds at which the product ever failed, each with its cause; they are played again in CI. */
+/** Seeds whose run once failed because of a fault of the product, with the cause; CI runs them again. */
 
 /** A seed that failed. */
 export interface SoakRegression {
@@ -9,6 +9,7 @@
 export const REGRESSIONS: readonly SoakRegression[] = [
   {
     seed: 2,
-    cause: 'an entry host cut off from control called a key unknown that had just been added',
+    cause:
+      'an entry host disconnected from the control plane rejected a key that had just been added',
   },
 ];
--- a/soak/SoakRelief.ts
+++ b/soak/SoakRelief.ts
@@ -1,4 +1,4 @@
-/** Engines that ask for relief in their answers: when they do in a run, and whether entry hosts kept to it. Pure. */
+/** Engines that request relief in their answers: plans when they do, and checks that entry hosts honour it. Pure. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
@@ -10,27 +10,27 @@
 import type { SoakPlanOptions } from './SoakSchedule.js';
 import type { SoakFinding, SoakReliefRequest, SoakReliefKind, SoakRecord } from './SoakTypes.js';
 
-/** Needs in one run, and how long each lasts at least, ms: a limit holds only after 3 s. */
+/** Relief requests per run, and the minimum duration of each, ms; a limit is enforced only after 3 s. */
 const RELIEF_REQUESTS = 3;
 const MIN_RELIEF_MS = 6_000;
 
-/** Limits that are named, requests a second. */
+/** Limits that engines name, requests per second. */
 const LIMITS = [0.5, 1, 2];
 
-/** Rest that is asked for, s. */
+/** Backoff that engines ask for, s. */
 export const BACKOFF_S = 2;
 
-/** What was on its way may reach an engine in its rest for this long, ms; later so many requests may. */
+/** Requests in flight may reach a refusing engine for this long, ms; later in its backoff at most so many may. */
 const IN_FLIGHT_MS = 500;
 const MAX_IN_BACKOFF = 2;
 
-/** An answer has been passed on this long after its request has reached the engine, late ones too; ms. */
+/** An entry host has received an answer this long after the request reached the engine, delayed answers too; ms. */
 const ANSWER_FORWARDED_MS = 1_500;
 
-/** An engine that leaves gets nothing that was sent this long after its word was passed on, ms. */
+/** A leaving engine gets no request that was sent more than this long after its notice was received, ms. */
 const LEAVING_GRACE_MS = 2_000;
 
-/** One engine that asks for relief: which host's, and from when on; ms from the start of load. */
+/** A planned relief request: number of the engine's host, and start (from the start of load) and duration in ms. */
 export interface SoakReliefPlan {
   readonly kind: SoakReliefKind;
   readonly host: number;
@@ -39,7 +39,7 @@
   readonly forMs: number;
 }
 
-/** Needs of a seed. Drawn by themselves, so that the disturbances of a seed stay as they are. */
+/** Relief requests of a seed. They have their own generator, so that the faults of a seed don't change. */
 export function planRelief(
   seed: number,
   { endpoints, durationMs }: SoakPlanOptions,
@@ -57,7 +57,7 @@
   }));
 }
 
-/** An arrival at an engine: from which entry host, and when its caller sent it. */
+/** Arrival of a request at an engine, the entry host that sent it, and when its caller sent it. */
 interface Arrival {
   readonly at: number;
   readonly entry: string;
@@ -78,8 +78,8 @@
 }
 
 /**
- * Whether anything was done to a host in a time: what it knew may be lost, or held up on its way. Unusual answers are
- * no reason not to keep to what others say.
+ * Whether a fault was injected into a host in an interval or shortly before it, so that what the host knew may be lost
+ * or delayed. Unusual answers don't count: they don't excuse a host from honouring what engines request.
  */
 export function hadFault(
   { injectedFaults }: SoakRecord,
@@ -102,7 +102,7 @@
 
 type ReliefCheck = (record: SoakRecord, relief: SoakReliefRequest) => readonly SoakFinding[];
 
-/** Arrivals from hosts that an answer has told before, and to which nothing was done since the need began. */
+/** Arrivals from entry hosts that an earlier answer has notified, without a fault there since the relief began. */
 function notifiedArrivals(record: SoakRecord, relief: SoakReliefRequest): readonly Arrival[] {
   const { engine, from, until } = relief;
   const executions = record.executions.filter(
@@ -181,7 +181,7 @@
   leave: leavingKept,
 };
 
-/** All that entry hosts did not keep; a need of an engine whose own host was touched is left out. */
+/** Relief requests that entry hosts didn't honour; those of engines whose own host had a fault are left out. */
 export function checkRelief(record: SoakRecord): readonly SoakFinding[] {
   return record.reliefRequests
     .filter(({ host, from, until }) =>
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -1,4 +1,4 @@
-/** One soak run: starts the real processes, disturbs them by a seed's schedule, and checks what was seen. */
+/** One soak run: starts the real processes, injects the faults of a seed, and checks the record. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -35,20 +35,20 @@
   SoakRecord,
 } from './SoakTypes.js';
 
-/** A run. */
+/** Options of a run. */
 export interface SoakOptions extends SoakPlanOptions {
   readonly seed: number;
   readonly callers: number;
-  /** Disturbances in place of the seed's own. */
+  /** Faults in place of the seed's own. */
   readonly faults?: readonly SoakFault[];
-  /** Engines that ask for relief in place of the seed's own. */
+  /** Relief requests in place of the seed's own. */
   readonly relief?: readonly SoakReliefPlan[];
-  /** Requests that end their engines in place of the seed's own. */
+  /** Requests that crash engines, in place of the seed's own. */
   readonly fatalRequests?: readonly SoakFatalRequest[];
   readonly logs?: 'ignore' | 'inherit';
 }
 
-/** What came of a run. */
+/** Result of a run, which `npm run soak` prints; `faults` are those planned. */
 export interface SoakResult {
   readonly seed: number;
   readonly findings: readonly SoakFinding[];
@@ -56,17 +56,17 @@
   readonly faults: readonly SoakFault[];
 }
 
-/** After all disturbances the system has this long to serve again, ms. */
+/** Time for the entry hosts to become ready again after all faults, ms. */
 const RECOVERY_TIMEOUT_MS = 10_000;
 
-/** Time in which it then has to serve as usual, ms. */
+/** Time after that in which requests must be served, ms. */
 const AFTER_RECOVERY_MS = 2_500;
 
 function now(): number {
   return performance.now();
 }
 
-/** Most time that a control process may need to answer what is newest, ms. */
+/** Time for a control process to return the newest acknowledged version, ms. */
 const READ_BACK_TIMEOUT_MS = 10_000;
 
 function figuresOf({
@@ -97,20 +97,20 @@
   };
 }
 
-/** All disturbances of a seed, unusual answers of engines among them. */
+/** All faults of a seed, unusual answers of engines included. */
 export function planAllFaults(seed: number, options: SoakPlanOptions): readonly SoakFault[] {
   const faults = planFaults(seed, options);
   return [...faults, ...planUnusualAnswers(seed, options, faults)];
 }
 
-/** What an engine in need says. */
+/** Behaviour of a stand-in engine that requests relief, by kind. */
 const RELIEF_BEHAVIOUR: Readonly<Record<SoakReliefKind, (perSecond: number) => object>> = {
   limit: (perSecond) => ({ limit: perSecond }),
   rest: () => ({ retryAfterS: BACKOFF_S }),
   leave: () => ({ leaving: true }),
 };
 
-/** The system of one run with all that stands around it. */
+/** The processes of one run with their proxy, engines, operator and callers. */
 class SoakHarness {
   readonly #platform: StandInPlatform;
 
@@ -130,7 +130,7 @@
 
   readonly #unexpectedExits: string[] = [];
 
-  /** Hosts whose process is being ended, started or paused, and engines that are being changed. */
+  /** Hosts, links and engines with an exclusive fault in progress, and processes that exited unexpectedly. */
   readonly #busy = new Set<string>();
 
   constructor(options: SoakOptions, platform: StandInPlatform, proxy: SoakProxy) {
@@ -229,7 +229,7 @@
     );
   }
 
-  /** Sends each request that ends its engine again and again, from its time on until the disturbances are over. */
+  /** Sends each request that crashes engines repeatedly, from its start time until the end of the faults. */
   async #sendFatalRequests(
     fatalRequests: readonly SoakFatalRequest[],
     load: SoakCallers,
@@ -240,7 +240,7 @@
       fatalRequests.map(async ({ body, at }) => {
         await delay(at);
         while (now() - startedAt < durationMs) {
-          // The next is sent whether or not the one before was answered.
+          // Not awaited: the next one is sent whether or not this one has been answered.
           load.callFatal(body).catch(() => undefined);
           // eslint-disable-next-line no-await-in-loop
           await delay(FATAL_INTERVAL_MS);
@@ -249,7 +249,7 @@
     );
   }
 
-  /** Has an engine ask for relief in its answers for a while. */
+  /** Makes an engine request relief in its answers for the planned time. */
   async #requestRelief({ kind, host, perSecond, at, forMs }: SoakReliefPlan): Promise<void> {
     await delay(at);
     const { engine, end } = this.#engines.startRelief(host, RELIEF_BEHAVIOUR[kind](perSecond));
@@ -259,7 +259,7 @@
     this.#reliefRequests.push({ kind, host, engine, perSecond, from, until: now() });
   }
 
-  /** Waits until the system serves, after everything that was done to it is undone. */
+  /** Sets all proxy modes to `pass`, then waits until the entry hosts are ready or the timeout passes. */
   async #recover(): Promise<void> {
     this.#platform.names.forEach((name) => this.#proxy.setMode(name, 'pass'));
     await waitUntil(
@@ -286,7 +286,7 @@
     );
   }
 
-  /** Notes processes that have ended though nobody ended them. */
+  /** Records processes that exited although no fault stopped them. */
   #watchExits(): void {
     this.#platform.names.forEach((name) => {
       const exit = this.#platform.exitOf(name);
@@ -315,7 +315,7 @@
     this.#injectedFaults[this.#injectedFaults.indexOf(event)] = { ...event, until: now() };
   }
 
-  /** One thing is done to a process at a time; what would meet a busy one is left out. */
+  /** Injects one fault into a target at a time; skips the task if one of its targets is busy. */
   async #runExclusively(names: readonly string[], task: () => Promise<void>): Promise<void> {
     if (names.some((name) => this.#busy.has(name))) {
       return;
@@ -326,7 +326,7 @@
   }
 }
 
-/** Plays one run; everything that it started has ended when it resolves. */
+/** Does one run; all processes and servers that it started have stopped when it resolves. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const { entries, endpoints, logs = 'ignore' } = options;
   const platform = await StandInPlatform.start({ entries, endpoints, proxied: true, logs });
--- a/soak/SoakSchedule.ts
+++ b/soak/SoakSchedule.ts
@@ -1,10 +1,10 @@
-/** What is done to the system in one run, by its seed. Pure. */
+/** Plans the faults of one run from its seed. Pure. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
 import type { SoakUnusualAnswer } from './SoakUnusualAnswers.js';
 
-/** Kinds of disturbances; the name says what is done, and to which kind of host. */
+/** Kinds of faults; the name says what is done, and to which kind of host. */
 export type SoakFaultKind =
   | 'entryKill'
   | 'entryPause'
@@ -29,27 +29,27 @@
   | 'configure'
   | 'withdraw';
 
-/** One disturbance. */
+/** One planned fault. */
 export interface SoakFault {
   readonly kind: SoakFaultKind | SoakUnusualAnswer;
-  /** Host it is done to, or all. */
+  /** Name of the host that it is injected into, or `all`. */
   readonly target: string;
-  /** ms from the start of load. */
+  /** Start and duration; ms, the start counted from the start of load. */
   readonly at: number;
   readonly forMs: number;
 }
 
-/** Size of a run. */
+/** Size of the system, and how long and how often faults are injected. */
 export interface SoakPlanOptions {
   readonly entries: number;
   readonly endpoints: number;
-  /** Length of the disturbed time, ms. */
+  /** Time during which faults are injected, ms. */
   readonly durationMs: number;
-  /** Disturbances a second, on average. */
+  /** Average over the run. */
   readonly faultsPerSecond: number;
 }
 
-/** Hosts that a kind is done to, how long it lasts at most, and how often it comes. */
+/** Kind of hosts that a fault is injected into, its maximum duration in ms, and its relative frequency. */
 const FAULT_KINDS: Readonly<
   Record<
     SoakFaultKind,
@@ -80,14 +80,14 @@
   withdraw: { hostKind: 'all', maxMs: 1, weight: 2 },
 };
 
-/** Kinds that may take a disk or a majority; two of them at once would lose more than is borne. */
+/** Kinds that may lose a control host's disk or the majority; two at once would exceed the tolerated losses. */
 const CONTROL_LOSS_KINDS: ReadonlySet<SoakFaultKind> = new Set([
   'controlWipe',
   'controlKill',
   'controlKillAll',
 ]);
 
-/** Time between two heavy disturbances, ms: an empty host must have caught up before the next loss. */
+/** Minimum time between two of them, ms: a host that restarted empty must have caught up before the next loss. */
 const CONTROL_LOSS_GAP_MS = 8_000;
 
 function hostsOf(hostKind: string, { entries, endpoints }: SoakPlanOptions): readonly string[] {
@@ -104,7 +104,7 @@
   return hosts[hostKind] ?? [];
 }
 
-/** The disturbances of a seed, in order of time. */
+/** The faults of a seed, in order of time. */
 export function planFaults(seed: number, options: SoakPlanOptions): readonly SoakFault[] {
   const rng = xoroshiro128plus(seed);
   const next = (): number => uniformFloat64(rng);
@@ -136,17 +136,17 @@
   return faults;
 }
 
-/** Requests that end their engines in one run, and how often each is sent, ms. */
+/** Requests per run that crash the engines that run them, and the interval at which each is sent, ms. */
 const FATAL_REQUEST_COUNT = 2;
 export const FATAL_INTERVAL_MS = 300;
 
-/** A request that ends its engine: from when on it is sent, ms from the start of load. */
+/** A request that crashes every engine that runs it; `at` is when it is first sent, ms from the start of load. */
 export interface SoakFatalRequest {
   readonly body: string;
   readonly at: number;
 }
 
-/** Requests that end their engines. Drawn by themselves, so that the disturbances of a seed stay as they are. */
+/** Requests that crash engines. They have their own generator, so that the faults of a seed don't change. */
 export function planFatalRequests(
   seed: number,
   { durationMs }: SoakPlanOptions,
--- a/soak/SoakStream.ts
+++ b/soak/SoakStream.ts
@@ -1,7 +1,7 @@
-/** What engines of a soak run answer. Pure. */
+/** Bodies of the answers that engines give in a soak run. Pure. */
 import type { SoakAttempt } from './SoakTypes.js';
 
-/** Events of every stream. */
+/** Number of events in every stream. */
 export const STREAM_EVENTS = 12;
 
 const EVENT_END = '\n\n';
@@ -16,7 +16,7 @@
   return `id: ${event}\ndata: ${id} token ${event}${EVENT_END}`;
 }
 
-/** Numbers of the whole events in what came of a stream. */
+/** Ids of the complete events in the received part of a stream; NaN for an event without one. */
 export function eventIdsOf(body: string): readonly number[] {
   return body
     .split(EVENT_END)
@@ -24,7 +24,7 @@
     .map((event) => Number(/^id: (\d+)\n/.exec(event)?.[1] ?? Number.NaN));
 }
 
-/** The whole body that an attempt has to get: all events after the one that it named. */
+/** The complete body that an attempt has to receive; for a stream, all events after `lastEventId`. */
 export function expectedBody({
   id,
   kind,
--- a/soak/SoakTypes.ts
+++ b/soak/SoakTypes.ts
@@ -1,66 +1,66 @@
-/** What a soak run records: what callers sent and got, what engines ran, and what was done to the system. */
+/** What a soak run records: requests and answers of callers, executions at engines, and injected faults. */
 
-/** Kinds of requests, by what may be repeated. */
+/** Kinds of requests, by what may be retried: `hold` runs at most once, `stream` may be resumed after an event. */
 export type SoakRequestKind = 'ask' | 'hold' | 'stream';
 
 /** How an attempt ended for its caller. */
 export type SoakOutcome =
-  /** The answer ended as the protocol says. */
+  /** The answer is complete by its framing. */
   | 'whole'
-  /** The connection ended inside the answer, or before it. */
+  /** The connection closed before the answer was complete, or before it began. */
   | 'broken'
   /** The caller's own deadline passed. */
   | 'deadline'
-  /** The caller broke it off. */
+  /** The caller aborted it. */
   | 'left';
 
-/** One attempt of a caller; times are ms on the soak's steady clock. */
+/** One attempt of a caller; times are ms on the soak's monotonic clock. */
 export interface SoakAttempt {
   readonly id: string;
   readonly kind: SoakRequestKind;
   readonly key: string;
-  /** Entry host that it was sent to. */
+  /** Name of the entry host that it was sent to. */
   readonly entry: string;
   readonly sentAt: number;
   readonly endedAt: number;
   readonly outcome: SoakOutcome;
   /** 0 where there was no answer. */
   readonly status: number;
-  /** Id of the request that the answer says it is for, and seal of the engine that gave it; null for none. */
+  /** Id of the request and seal of the engine, as the answer's headers name them; null where missing. */
   readonly echoedId: string | null;
   readonly seal: string | null;
   readonly body: string;
-  /** Bytes on the connection that belong to no answer. */
+  /** Bytes received on the connection that belong to no answer. */
   readonly stray: string;
-  /** Event after which a stream is to go on, and the attempt that it goes on from; 0 and null for a first one. */
+  /** Event after which a stream is resumed, and id of the attempt that it resumes; 0 and null for a first attempt. */
   readonly lastEventId: number;
   readonly resumedFrom: string | null;
 }
 
-/** An answer that an engine began to give. */
+/** An answer that an engine began to send. */
 export interface SoakAnswer {
   readonly id: string;
   readonly engine: string;
   readonly status: number;
 }
 
-/** A run of a request at an engine. */
+/** One execution of a request at an engine. */
 export interface SoakExecution {
   readonly id: string;
   readonly engine: string;
   readonly at: number;
   readonly customer: string | undefined;
-  /** Whether it goes on after an event, as a resumed stream does. */
+  /** Whether it resumes a stream after an event. */
   readonly resumed: boolean;
 }
 
-/** A key was withdrawn by a version whose acknowledgement came at a time. */
+/** A key that a new version removed, and when that version was acknowledged; Infinity until then. */
 export interface SoakRevokedKey {
   readonly key: string;
   readonly ackedAt: number;
 }
 
-/** A planned or unplanned disturbance, as it was carried out. */
+/** A planned or unplanned fault, and the time in which it was injected. */
 export interface SoakInjectedFault {
   readonly kind: string;
   readonly target: string;
@@ -68,42 +68,42 @@
   readonly until: number;
 }
 
-/** An engine said that it leaves, and that was acknowledged. */
+/** An engine announced that it is draining, and a control process acknowledged it. */
 export interface SoakDrain {
   readonly engine: string;
   readonly ackedAt: number;
 }
 
-/** A request ended the engine that ran it. */
+/** A request crashed the engine that ran it. */
 export interface SoakEngineCrash {
   readonly body: string;
   readonly engine: string;
   readonly at: number;
 }
 
-/** What an engine asks for in its answers. */
+/** Kind of relief that an engine requests in its answers: a rate limit, a backoff, or no new requests as it leaves. */
 export type SoakReliefKind = 'limit' | 'rest' | 'leave';
 
-/** An engine asked for relief. */
+/** An engine requested relief in its answers. */
 export interface SoakReliefRequest {
   readonly kind: SoakReliefKind;
-  /** Number of its host, and its id. */
+  /** Number of the engine's host, and the engine's id. */
   readonly host: number;
   readonly engine: string;
-  /** For a limit. */
+  /** Requests per second; only for a limit. */
   readonly perSecond: number;
   readonly from: number;
   readonly until: number;
 }
 
-/** An engine refused a request and asked for rest. */
+/** An engine refused a request and asked for a backoff. */
 export interface SoakRefusal {
   readonly id: string;
   readonly engine: string;
   readonly at: number;
 }
 
-/** All that was recorded. */
+/** Everything that one soak run recorded; the checks read nothing else. */
 export interface SoakRecord {
   readonly attempts: readonly SoakAttempt[];
   readonly executions: readonly SoakExecution[];
@@ -113,24 +113,24 @@
   readonly reliefRequests: readonly SoakReliefRequest[];
   readonly refusals: readonly SoakRefusal[];
   readonly injectedFaults: readonly SoakInjectedFault[];
-  /** Engines that requests ended, and all runs of such requests. */
+  /** Engines that requests crashed, and all executions of such requests. */
   readonly engineCrashes: readonly SoakEngineCrash[];
   readonly fatalExecutions: readonly (Pick<SoakEngineCrash, 'body' | 'at'> &
     Pick<SoakExecution, 'id'>)[];
-  /** Passes that began with two maps. */
+  /** Passes that began while ranks used different expert maps. */
   readonly mixedPasses: number;
-  /** Newest version that was acknowledged, and what each control process reads back at the end. */
+  /** Newest acknowledged version, and the version that each control process returns at the end; null for none. */
   readonly ackedVersion: number;
   readonly readBackVersions: readonly (number | null)[];
-  /** Processes that ended without being told to, with how. */
+  /** Processes that exited although no fault stopped them, each with its exit code or signal. */
   readonly unexpectedExits: readonly string[];
-  /** Requests answered whole after all disturbances were over. */
+  /** Requests sent after recovery and answered with status 200. */
   readonly servedAfterRecovery: number;
-  /** Passes of the group and changes of map after all disturbances were over. */
+  /** Passes of the group after recovery. */
   readonly passesAfterRecovery: number;
 }
 
-/** A broken promise. */
+/** A violated guarantee. */
 export interface SoakFinding {
   readonly rule: string;
   readonly detail: string;
--- a/soak/SoakUnusualAnswers.ts
+++ b/soak/SoakUnusualAnswers.ts
@@ -1,10 +1,10 @@
-/** Unusual answers of engines in a soak run: which, when, and beside what. Pure. */
+/** Plans the unusual answers of engines in a soak run, alone and around other faults. Pure. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { StandInUnusualAnswer } from '../platform/__tests__/utils/StandInUnusualAnswers.js';
 import type { SoakFault, SoakPlanOptions } from './SoakSchedule.js';
 
-/** Kinds of unusual answers: second ones at once, resets without a length, and all of the stand-in's own. */
+/** Kinds of unusual answers: a second answer behind a plain one, resets without a length, and the stand-in's own. */
 export type SoakUnusualAnswer = StandInUnusualAnswer | 'extra' | 'resetUnframed';
 
 export const UNUSUAL_ANSWERS = [
@@ -25,20 +25,20 @@
   return UNUSUAL_ANSWER_SET.has(kind);
 }
 
-/** Most time that one kind lasts, ms. */
+/** Maximum duration of one kind, ms. */
 const MAX_DURATION_MS = 1_500;
 
-/** Kinds in one series at one engine, and time from the begin of one to the next, ms. */
+/** Kinds in one series at one engine, and the time from the start of one to the start of the next, ms. */
 const SERIES_LENGTH = 4;
 const SERIES_INTERVAL_MS = 400;
 
-/** Share of disturbances that meet a series. */
+/** Share of the faults of `ACCOMPANIED_KINDS` that get a series around them. */
 const ACCOMPANIED_SHARE = 0.25;
 
-/** A series begins at most so long before or after the disturbance that it meets, ms. */
+/** Maximum time by which a series starts before or after the fault that it accompanies, ms. */
 const MAX_OFFSET_MS = 300;
 
-/** Disturbances that unusual answers are to meet: signals, restarts and changes of configuration. */
+/** Faults that unusual answers are combined with: signals, restarts and changes of configuration. */
 const ACCOMPANIED_KINDS: ReadonlySet<string> = new Set([
   'entryKill',
   'entryPause',
@@ -53,8 +53,8 @@
 ]);
 
 /**
- * Unusual answers of a seed: one after the other at one engine, alone and beside its disturbances. Drawn by themselves,
- * so that the disturbances of a seed stay as they are.
+ * Unusual answers of a seed: series at one engine each, some independent and some around the faults given. They have
+ * their own generator, so that the faults of a seed don't change.
  */
 export function planUnusualAnswers(
   seed: number,
--- a/soak/__tests__/unit/SoakChecks.test.ts
+++ b/soak/__tests__/unit/SoakChecks.test.ts
@@ -62,7 +62,7 @@
 
 const ALL_EVENT_IDS = Array.from({ length: STREAM_EVENTS }, (_item, i) => i + 1);
 
-/** Attempts at one entry host, and their runs at an engine, at times. */
+/** Attempts at one entry host, one at each of the times, and their executions at one engine. */
 function recordOfRequestsAt(
   times: readonly number[],
 ): Pick<SoakRecord, 'attempts' | 'executions' | 'answers'> {
@@ -83,7 +83,7 @@
 
 const RELIEF_REQUEST = { host: 1, engine: 'i-1', perSecond: 1, from: 0, until: 20_000 };
 
-/** One arrival that names the limit, and as many in one window as are allowed, and one more. */
+/** One arrival whose answer names the limit, and then one more in a window than the limit allows. */
 const OVER_LIMIT = recordOfRequestsAt([
   100,
   ...Array.from({ length: 12 }, (_item, i) => 5_000 + i),
@@ -91,7 +91,7 @@
 
 const IN_BACKOFF = recordOfRequestsAt([100, 900, 901, 902]);
 
-/** The parts of a stream that was resumed after its third event, the second with these events. */
+/** A stream aborted after its third event and resumed; `events` are those of the resumed part. */
 function resumedStream(events: readonly number[], lastEventId = 3): Partial<SoakRecord> {
   const first = streamAttempt([1, 2, 3], 'left');
   const body = events.map((event) => streamEvent('s2', event)).join('');
@@ -103,13 +103,13 @@
   };
 }
 
-/** A failure that an engine gave. */
+/** An engine's own failure. */
 const FAILURE: Partial<SoakRecord> = {
   attempts: [{ ...HOLD_ATTEMPT, status: 500, body: failureBody('s1') }],
   answers: [{ ...ANSWER, status: 500 }],
 };
 
-/** Each broken promise with a record in which it is broken, and nothing else. */
+/** For each rule, a record that violates this rule and no other. */
 const VIOLATIONS: Readonly<Record<string, Partial<SoakRecord>>> = {
   'own whole answer': { attempts: [{ ...HOLD_ATTEMPT, body: plainAnswer('s2') }] },
   'a success bears its seal and id': { attempts: [{ ...HOLD_ATTEMPT, seal: null }] },
@@ -162,28 +162,28 @@
   'serves again': { servedAfterRecovery: 0 },
 };
 
-describe('the soak’s checks', () => {
-  it('find nothing where all promises are kept', () => {
+describe('soak checks', () => {
+  it('find nothing in a record without violations', () => {
     assert.deepEqual(rulesOf({}), []);
     assert.deepEqual(rulesOf({ attempts: [streamAttempt(ALL_EVENT_IDS, 'whole')] }), []);
     assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2], 'broken')] }), []);
   });
 
-  it('find each broken promise', () => {
+  it('find each violation', () => {
     Object.entries(VIOLATIONS).forEach(([rule, record]) => {
       assert.deepEqual(rulesOf(record), [rule]);
     });
   });
 
-  it('find a stream with an event missing, twice, or a false end', () => {
+  it('find a stream with a missing event, a duplicate event or an early end', () => {
     const rule = ['own whole answer'];
     assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 3], 'broken')] }), rule);
     assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2, 2], 'broken')] }), rule);
     assert.deepEqual(rulesOf({ attempts: [streamAttempt([1, 2], 'whole')] }), rule);
   });
 
-  // Guards against: a success without the head of the engine that ran it, whose body is right, goes unseen.
-  it('find a success without its seal or id, and one of another engine or request', () => {
+  // A success with the right body but without the headers of the engine that ran it must not pass.
+  it('find a success without seal or id, or of another engine or request', () => {
     const unsealed = ['a success bears its seal and id'];
     const foreign = ['a success is of the engine that ran it'];
     const rest = resumedStream([], STREAM_EVENTS).attempts ?? [];
@@ -201,8 +201,8 @@
     assert.deepEqual(rulesOf({ attempts: headless }), unsealed);
   });
 
-  // Guards against: a failure of one engine is passed on with the seal of another, changed, or to another's caller.
-  it('find a failure that isn’t its engine’s own', () => {
+  // A failure must not be forwarded with another engine's seal, changed, or to the caller of another request.
+  it('find a failure that the sealing engine didn’t give', () => {
     const rule = ['a sealed failure is its engine’s own'];
     const [failed] = FAILURE.attempts ?? [];
     const changed = (change: Partial<SoakAttempt>): Partial<SoakRecord> => ({
@@ -217,7 +217,7 @@
     assert.deepEqual(rulesOf(changed({ seal: null, echoedId: 's2' })), rule);
   });
 
-  // Guards against: the parts of a resumed stream, each right by itself, don't join.
+  // The parts of a resumed stream may each be right by themselves and still not join.
   it('find a resumed stream whose parts don’t join', () => {
     assert.deepEqual(rulesOf(resumedStream(ALL_EVENT_IDS.slice(3))), []);
     assert.deepEqual([...rulesOf(resumedStream(ALL_EVENT_IDS.slice(4)))].sort(), [
@@ -230,7 +230,7 @@
     assert.deepEqual(rulesOf(resumedStream([], STREAM_EVENTS)), ['a resumed stream goes on']);
   });
 
-  it('leave out a need where something was done to the host in question', () => {
+  it('ignore relief requests where the entry or endpoint host had a fault', () => {
     ['a limit is kept', 'a rest is kept', 'an engine’s word that it leaves is kept'].forEach(
       (rule) =>
         ['entry-1', 'endpoint-1'].forEach((target) => {
@@ -240,7 +240,7 @@
     );
   });
 
-  it('find a request that was passed on and got nothing where its entry host is stopped', () => {
+  it('find a forwarded request without an answer when its entry host is stopped', () => {
     const record = VIOLATIONS['a graceful stop cuts nothing off'];
     const nothing = VIOLATIONS['what is passed on is answered'];
     assert.deepEqual(rulesOf({ ...record, ...nothing }), [
@@ -249,7 +249,7 @@
     ]);
   });
 
-  it('leave out what an entry host that stood still sends to a leaving engine', () => {
+  it('ignore requests that a paused entry host sends to a leaving engine', () => {
     const record = VIOLATIONS['a leaving engine gets nothing new'];
     const from = EXECUTION.at - DRAIN_TIMEOUT_MS;
     const pause = { kind: 'entryPause', from, until: EXECUTION.at - 1 };
@@ -261,7 +261,7 @@
     assert.equal(rulesOf({ ...record, injectedFaults: [before] }).length, 1);
   });
 
-  it('leave out what an unplanned fault beside a stop may cut off', () => {
+  it('ignore answers that an unplanned fault near a graceful stop may have cut off', () => {
     const record = VIOLATIONS['a graceful stop cuts nothing off'];
     const kill = { kind: 'engineCrash', target: 'engine-1', from: 900, until: 1_000 };
     assert.deepEqual(
--- a/soak/__tests__/unit/SoakConnection.test.ts
+++ b/soak/__tests__/unit/SoakConnection.test.ts
@@ -24,7 +24,7 @@
 
 const CHUNKED_START = `${HEAD}Transfer-Encoding: chunked\r\n\r\n${chunk(streamEvent('s1', 1))}${chunk(streamEvent('s1', 2))}`;
 
-describe('a connection of the soak’s callers', () => {
+describe('soak caller connection', () => {
   let onRequest: (socket: Socket) => void = () => undefined;
   let received = '';
   let server: Server;
@@ -56,7 +56,7 @@
     return { connection, result };
   }
 
-  it('reads an answer in any pieces, and is used again', async () => {
+  it('reads an answer in pieces of any size, and is reused', async () => {
     const { connection, result } = await ask((socket) => {
       [...Buffer.from(PLAIN_ANSWER)].forEach((byte, i) =>
         setTimeout(() => socket.write(Buffer.of(byte)), i),
@@ -74,7 +74,7 @@
     connection.close();
   });
 
-  it('takes an answer without a length as whole at its end, not at a reset', async () => {
+  it('completes an answer without a length at a FIN, not at a reset', async () => {
     const unframed = `${HEAD}\r\nanswer`;
     const { result } = await ask((socket) => socket.end(unframed));
     assert.deepEqual([result.outcome, result.body], ['whole', 'answer']);
@@ -85,8 +85,8 @@
     assert.equal(broken.result.outcome, 'broken');
   });
 
-  // Guards against: an answer that ends early looks complete.
-  it('takes an answer that ends before its last byte as broken, and leaves the connection open', async () => {
+  // A truncated answer must not look complete.
+  it('reports a truncated answer as broken, and leaves the connection open', async () => {
     const { connection, result } = await ask((socket) => socket.end(CHUNKED_START));
     assert.equal(result.outcome, 'broken');
     assert.ok(connection.isOpen);
@@ -95,8 +95,8 @@
     [connection, short.connection].forEach((item) => item.close());
   });
 
-  // Guards against: bytes behind an answer, or on a connection with no request waiting, go unseen.
-  it('shows bytes that belong to no answer', async () => {
+  // Bytes behind an answer, or on a connection without a pending request, must be reported.
+  it('reports bytes that belong to no answer', async () => {
     const { connection, result } = await ask((socket) => socket.write(`${PLAIN_ANSWER}more`));
     assert.deepEqual([result.body, result.stray], ['answer', 'more']);
     connection.close();
@@ -113,14 +113,14 @@
     garbled.connection.close();
   });
 
-  it('is broken off after as many events as its caller wants', async () => {
+  it('aborts after the number of events that its caller gives', async () => {
     const { connection, result } = await ask((socket) => socket.write(CHUNKED_START), {
       abortAfter: 2,
     });
     assert.deepEqual([result.outcome, connection.isOpen], ['left', false]);
   });
 
-  it('gives up after its caller’s patience', async () => {
+  it('ends a call at its timeout', async () => {
     const { result } = await ask(() => undefined);
     assert.deepEqual([result.outcome, result.status], ['deadline', 0]);
   });
--- a/soak/__tests__/unit/SoakProxy.test.ts
+++ b/soak/__tests__/unit/SoakProxy.test.ts
@@ -7,7 +7,7 @@
 
 const OUTSIDE = '127.99.0.1';
 
-describe('the soak’s proxy', () => {
+describe('soak proxy', () => {
   const proxy = new SoakProxy();
   const server = createServer((socket) => {
     socket.on('error', () => socket.destroy());
@@ -17,7 +17,7 @@
   let proxyPort: ProxyPort;
   const sockets: Socket[] = [];
 
-  /** Opens a connection through the proxy; what comes back is kept as text. */
+  /** Opens a connection through the proxy; `received` returns all data from it so far, as text. */
   async function open(): Promise<{ readonly socket: Socket; readonly received: () => string }> {
     const socket = connect({ host: OUTSIDE, port });
     sockets.push(socket);
@@ -44,7 +44,7 @@
     server.close();
   });
 
-  it('holds one direction back and lets it go on in order', async () => {
+  it('holds one direction back, and later forwards its data in order', async () => {
     const { socket, received } = await open();
     socket.write('a');
     await delay(50);
@@ -60,7 +60,7 @@
     assert.equal(received(), 'abc');
   });
 
-  it('silences open connections for good, not new ones', async () => {
+  it('silences open connections for good, but not new ones', async () => {
     const { socket, received } = await open();
     await delay(50);
     proxy.silence('h');
@@ -72,8 +72,8 @@
     assert.equal(next.received(), 'b');
   });
 
-  // Guards against: an engine that is gone looks alive to whoever connects, since its proxy still takes connections.
-  it('refuses new connections for a while, and leaves open ones', async () => {
+  // A crashed engine would look alive if its proxy still accepted connections.
+  it('refuses new connections until it accepts them again, and keeps open ones', async () => {
     const { socket, received } = await open();
     await proxy.setRefusing(proxyPort, true);
     await assert.rejects(open(), { code: 'ECONNREFUSED' });
@@ -86,7 +86,7 @@
     assert.equal(next.received(), 'b');
   });
 
-  it('resets connections', async () => {
+  it('resets the connections of a host', async () => {
     const { socket } = await open();
     await delay(50);
     const closed = new Promise<void>((resolve) => {
--- a/soak/__tests__/unit/SoakRun.test.ts
+++ b/soak/__tests__/unit/SoakRun.test.ts
@@ -5,7 +5,7 @@
 import { isUnusualAnswer } from '../../SoakUnusualAnswers.js';
 import { planAllFaults, runSoak, type SoakOptions, type SoakResult } from '../../SoakRun.js';
 
-/** A short run. */
+/** Options of a short run. */
 const SHORT_RUN: Omit<SoakOptions, 'seed'> = {
   entries: 2,
   endpoints: 3,
@@ -14,13 +14,13 @@
   callers: 12,
 };
 
-describe('a soak run', () => {
-  it('has the same schedule for the same seed, and another for another', () => {
+describe('soak run', () => {
+  it('has the same schedule for the same seed, and another one for another seed', () => {
     assert.deepEqual(planFaults(1, SHORT_RUN), planFaults(1, SHORT_RUN));
     assert.notDeepEqual(planFaults(1, SHORT_RUN), planFaults(2, SHORT_RUN));
   });
 
-  it('has the unusual answers of engines apart from its other disturbances, in series', () => {
+  it('plans unusual answers of engines in series, without changing the other faults', () => {
     const all = planAllFaults(1, SHORT_RUN);
     const unusual = all.filter(({ kind }) => isUnusualAnswer(kind));
     assert.deepEqual(all, [...planFaults(1, SHORT_RUN), ...unusual]);
@@ -29,9 +29,10 @@
     assert.equal(first?.target, second?.target);
   });
 
-  // Two requests end the ranks that run them, each sent to all entry hosts every 0.3 s, and nothing else is done. Each
-  // end takes the whole group's work. Soon after the third neither may reach a rank any more, and all others go on.
-  it('holds what ends the ranks of a group', async () => {
+  // Two requests crash the ranks that run them; each is sent to all entry hosts every 0.3 s, without other faults. Each
+  // crash aborts the work of the whole group. Soon after a request's third crash it must reach no rank any more, while
+  // all other requests are served.
+  it('quarantines requests that crash the ranks of a group', async () => {
     const { findings, figures } = await runSoak({
       ...SHORT_RUN,
       durationMs: 10_000,
@@ -44,8 +45,8 @@
     assert.ok((figures.whole ?? 0) > 50);
   });
 
-  // Guards against: engines in need, and nothing else going on, get what they have asked entry hosts not to send.
-  it('keeps to what engines ask for in their answers', async () => {
+  // Without any other fault, entry hosts must not send engines what these have asked them not to send.
+  it('honours the relief that engines request in their answers', async () => {
     const plan = { perSecond: 1, at: 500, forMs: 9_000 };
     const relief = [
       { ...plan, kind: 'limit' as const, host: 1 },
@@ -68,9 +69,9 @@
     assert.ok((figures.whole ?? 0) > 50);
   });
 
-  // Processes are killed, paused and stopped, links are cut and reset, engines crash, leave and answer unusually, while
-  // callers go on and come back for streams. Whatever they see must keep the promises, and all must be served again at
-  // the end.
+  // Processes are killed, paused and stopped, links are cut and reset, and engines crash, leave and give unusual
+  // answers, while callers send requests and resume streams. No guarantee may be violated, and requests must be served
+  // again at the end.
   async function assertNoFindings(seed: number): Promise<SoakResult['figures']> {
     const { findings, figures } = await runSoak({ ...SHORT_RUN, seed });
     assert.deepEqual(findings, []);
@@ -79,13 +80,13 @@
   }
 
   REGRESSIONS.forEach(({ seed, cause }) => {
-    it(`keeps the promises for seed ${seed}, which failed: ${cause}`, async () => {
+    it(`keeps its guarantees for seed ${seed}, which failed: ${cause}`, async () => {
       await assertNoFindings(seed);
     });
   });
 
-  // Guards against: a caller that comes back after the last event of a stream gets a success without its head.
-  it('keeps the promises for a new seed, in which callers come back after the last event', async () => {
+  // A caller that resumes a stream after its last event must not get a success without the engine's headers.
+  it('keeps its guarantees for a new seed, in which callers resume after the last event', async () => {
     const { afterLast = 0 } = await assertNoFindings(1);
     assert.ok(afterLast > 0);
   });
