--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -39,7 +39,7 @@
 
   readonly #platform: StandInPlatform;
 
-  readonly #setRefusing: (n: number, isGone: boolean) => Promise<void>;
+  readonly #setRefusing: (n: number, refuses: boolean) => Promise<void>;
 
   readonly #engines = new Map<number, StandInEngine>();
 
@@ -51,10 +51,10 @@
   constructor(
     platform: StandInPlatform,
     count: number,
-    setGone: (n: number, isGone: boolean) => Promise<void>,
+    setRefusing: (n: number, refuses: boolean) => Promise<void>,
   ) {
     this.#platform = platform;
-    this.#setRefusing = setGone;
+    this.#setRefusing = setRefusing;
     this.group = new StandInGroup(count);
   }
 
@@ -100,16 +100,16 @@
     });
   }
 
-  setDelayed(n: number, late: boolean): void {
+  setDelayed(n: number, isDelayed: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { delayMs: late ? ANSWER_DELAY_MS : 0 });
+      Object.assign(behaviour, { delayMs: isDelayed ? ANSWER_DELAY_MS : 0 });
     });
   }
 
-  setDroppingOrderReplies(n: number, loses: boolean): void {
+  setDroppingOrderReplies(n: number, drops: boolean): void {
     this.#change(n, ({ rank }) => {
       if (rank !== null) {
-        Object.assign(rank, { dropsOrderReplies: loses });
+        Object.assign(rank, { dropsOrderReplies: drops });
       }
     });
   }
--- a/soak/SoakRelief.ts
+++ b/soak/SoakRelief.ts
@@ -88,11 +88,11 @@
   until: number,
 ): boolean {
   return injectedFaults.some(
-    (event) =>
-      event.target === name &&
-      !isUnusualAnswer(event.kind) &&
-      event.from <= until &&
-      event.until >= from - IN_FLIGHT_MS,
+    (fault) =>
+      fault.target === name &&
+      !isUnusualAnswer(fault.kind) &&
+      fault.from <= until &&
+      fault.until >= from - IN_FLIGHT_MS,
   );
 }
 
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -138,9 +138,9 @@
     this.#platform = platform;
     this.#proxy = proxy;
     const ports = platform.proxiedPorts.filter(({ port }) => port === ENGINE_PORT);
-    this.#engines = new SoakEngines(platform, options.endpoints, async (n, isGone) => {
+    this.#engines = new SoakEngines(platform, options.endpoints, async (n, refuses) => {
       const port = ports.find(({ host }) => host === `endpoint-${n}`);
-      await (port && proxy.setRefusing(port, isGone));
+      await (port && proxy.setRefusing(port, refuses));
     });
     this.#operator = new SoakOperator(platform, now);
   }
@@ -300,8 +300,8 @@
   async #injectFault(fault: SoakFault): Promise<void> {
     const { kind, target } = fault;
     const from = now();
-    const event = { kind, target, from, until: Infinity };
-    this.#injectedFaults.push(event);
+    const injected = { kind, target, from, until: Infinity };
+    this.#injectedFaults.push(injected);
     await FAULT_INJECTORS[kind]({
       fault,
       platform: this.#platform,
@@ -312,7 +312,7 @@
       now,
       runExclusively: async (names, task) => this.#runExclusively(names, task),
     });
-    this.#injectedFaults[this.#injectedFaults.indexOf(event)] = { ...event, until: now() };
+    this.#injectedFaults[this.#injectedFaults.indexOf(injected)] = { ...injected, until: now() };
   }
 
   /** Injects one fault into a target at a time; skips the task if one of its targets is busy. */
