--- a/soak/SoakAnswerChecks.ts
+++ b/soak/SoakAnswerChecks.ts
@@ -90,11 +90,11 @@
       ) {
         parts.unshift(part);
       }
-      const events = parts.filter(isSuccess).flatMap(({ body }) => eventIdsOf(body));
+      const eventIds = parts.filter(isSuccess).flatMap(({ body }) => eventIdsOf(body));
       const isEnded = isSuccess(last) && last.outcome === 'whole';
       const isRight =
-        events.every((event, i) => event === i + 1) &&
-        (!isEnded || events.length === STREAM_EVENTS);
+        eventIds.every((event, i) => event === i + 1) &&
+        (!isEnded || eventIds.length === STREAM_EVENTS);
       return isRight ? [] : [finding('a resumed stream goes on', parts.map(describe).join('; '))];
     });
 };
--- a/soak/SoakChecks.ts
+++ b/soak/SoakChecks.ts
@@ -5,13 +5,13 @@
 import type { SoakFinding, SoakRecord, SoakExecution } from './SoakTypes.js';
 
 /** No request with a revoked key may run that is sent more than this long after the acknowledgement, ms. */
-export const REVOKE_TIMEOUT_MS = 5_000;
+export const MAX_REVOKE_MS = 5_000;
 
 /** A draining engine must get no new request later than this after the acknowledgement, ms. */
-export const DRAIN_TIMEOUT_MS = 2_000;
+export const MAX_DRAIN_MS = 2_000;
 
 /** A key is known at all entry hosts this long after the acknowledgement of its version, ms. */
-const APPLY_TIMEOUT_MS = 2_000;
+const MAX_APPLY_MS = 2_000;
 
 /** Crashes after which a request is quarantined, and how often it may still run once that has propagated. */
 const QUARANTINE_CRASHES = 3;
@@ -58,7 +58,7 @@
 const revokedKeysRefused: Check = ({ attempts, revokedKeys }, executionsById) =>
   attempts.flatMap(({ id, key, sentAt }) => {
     const revoked = revokedKeys.find((item) => item.key === key);
-    const late = revoked !== undefined && sentAt > revoked.ackedAt + REVOKE_TIMEOUT_MS;
+    const late = revoked !== undefined && sentAt > revoked.ackedAt + MAX_REVOKE_MS;
     return late && executionsById.has(id)
       ? [finding('withdrawn keys are dead', `${id} ran ${sentAt - revoked.ackedAt} ms after`)]
       : [];
@@ -79,9 +79,7 @@
   const entryOf = new Map(attempts.map(({ id, entry }) => [id, entry]));
   return drains.flatMap(({ engine, ackedAt }) =>
     executions
-      .filter(
-        (execution) => execution.engine === engine && execution.at > ackedAt + DRAIN_TIMEOUT_MS,
-      )
+      .filter((execution) => execution.engine === engine && execution.at > ackedAt + MAX_DRAIN_MS)
       .filter(({ id, at }) => !hadFault(record, entryOf.get(id) ?? '', ackedAt, at))
       .map(({ id, at }) =>
         finding('a leaving engine gets nothing new', `${id} at ${engine} after ${at - ackedAt} ms`),
@@ -141,12 +139,17 @@
           { sentAt: execution.at, endedAt: execution.at },
         ),
     );
-    const described = late.map(
+    const descriptions = late.map(
       ({ id, at }) =>
         `${id} by ${entryOf.get(id)} ${Math.round(at - thirdCrashAt)} ms after the third end`,
     );
     return late.length > MAX_LATE_EXECUTIONS
-      ? [finding('what ends engines is held', `"${body}" ran too late as ${described.join(', ')}`)]
+      ? [
+          finding(
+            'what ends engines is held',
+            `"${body}" ran too late as ${descriptions.join(', ')}`,
+          ),
+        ]
       : [];
   });
 };
@@ -178,7 +181,7 @@
 
 /** Time from which the new key of a version may be used: it is in force at all entry hosts by then. */
 export function usableFrom(ackedAt: number): number {
-  return ackedAt + APPLY_TIMEOUT_MS;
+  return ackedAt + MAX_APPLY_MS;
 }
 
 /** All violated guarantees in a record. */
--- a/soak/SoakConnection.ts
+++ b/soak/SoakConnection.ts
@@ -74,9 +74,9 @@
     const reader = new SoakAnswerReader();
     const outcome = await new Promise<SoakOutcome>((resolve) => {
       const timer = setTimeout(() => resolve('deadline'), call.timeoutMs);
-      const settle = (how: SoakOutcome): void => {
+      const settle = (result: SoakOutcome): void => {
         clearTimeout(timer);
-        resolve(how);
+        resolve(result);
       };
       this.#pending = { reader, abortAfter: call.abortAfter, settle };
       if (this.isOpen) {
--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -67,7 +67,7 @@
       if (oldest === undefined || !rest.some((key) => key.usableFrom <= this.#now())) {
         return;
       }
-      // From now on either version may be in force, so the key is neither usable nor known to be revoked.
+      // While the document is being submitted, either version may be in force.
       this.#keys = rest;
       this.#revokedKeys.push({ key: oldest.key, ackedAt: Infinity });
       const ackedAt = await this.#submit(rest.map(({ key }) => key));
--- a/soak/SoakProxy.ts
+++ b/soak/SoakProxy.ts
@@ -67,7 +67,7 @@
   /** Sets the mode of a host; data that a cut held back is forwarded once the cut ends. */
   setMode(host: string, mode: ProxyMode): void {
     this.#modes.set(host, mode);
-    this.#connections.forEach((pair) => this.#applyMode(pair));
+    this.#connections.forEach((connection) => this.#applyMode(connection));
   }
 
   /** Resets all connections of a host. */
@@ -80,10 +80,10 @@
 
   /** Stops forwarding on the open connections of a host for good, without closing them; new ones work. */
   silence(host: string): void {
-    this.#connectionsOf(host).forEach((pair) => {
+    this.#connectionsOf(host).forEach((connection) => {
       // eslint-disable-next-line no-param-reassign
-      pair.silent = true;
-      this.#applyMode(pair);
+      connection.silent = true;
+      this.#applyMode(connection);
     });
   }
 
@@ -97,7 +97,7 @@
   }
 
   #connectionsOf(host: string): readonly ProxiedConnection[] {
-    return [...this.#connections].filter((pair) => pair.host === host);
+    return [...this.#connections].filter((connection) => connection.host === host);
   }
 
   async #applyRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
@@ -119,18 +119,18 @@
   }
 
   #addConnection(host: string, caller: Socket, callee: Socket): void {
-    const pair: ProxiedConnection = { host, caller, callee, silent: false };
-    this.#connections.add(pair);
-    this.#forward(pair, caller, callee);
-    this.#forward(pair, callee, caller);
-    callee.once('connect', () => this.#applyMode(pair));
+    const connection: ProxiedConnection = { host, caller, callee, silent: false };
+    this.#connections.add(connection);
+    this.#forward(connection, caller, callee);
+    this.#forward(connection, callee, caller);
+    callee.once('connect', () => this.#applyMode(connection));
   }
 
-  #forward(pair: ProxiedConnection, from: Socket, to: Socket): void {
+  #forward(connection: ProxiedConnection, from: Socket, to: Socket): void {
     // Queued, so that data received after a delay has ended doesn't overtake delayed data.
     let previous = Promise.resolve();
     const enqueue = (task: () => void): void => {
-      const delayMs = this.#modes.get(pair.host) === 'delay' ? DELAY_MS : 0;
+      const delayMs = this.#modes.get(connection.host) === 'delay' ? DELAY_MS : 0;
       const elapsed = delayMs === 0 ? Promise.resolve() : delay(delayMs);
       previous = previous.then(async () => elapsed).then(task);
     };
@@ -138,13 +138,13 @@
     from.on('data', (data: Buffer) => enqueue(() => to.write(data)));
     from.on('end', () => enqueue(() => to.end()));
     from.on('error', () => {
-      if (!pair.silent) {
+      if (!connection.silent) {
         resetSocket(to);
       }
     });
     from.on('close', () => {
-      this.#connections.delete(pair);
-      if (!pair.silent && !from.readableEnded) {
+      this.#connections.delete(connection);
+      if (!connection.silent && !from.readableEnded) {
         to.destroy();
       }
     });
--- a/soak/SoakRegressions.ts
+++ b/soak/SoakRegressions.ts
@@ -10,6 +10,6 @@
   {
     seed: 2,
     cause:
-      'an entry host disconnected from the control plane rejected a key that had just been added',
+      'an entry host disconnected from the control plane rejected a key as unknown that had just been added',
   },
 ];
--- a/soak/SoakRelief.ts
+++ b/soak/SoakRelief.ts
@@ -11,7 +11,7 @@
 import type { SoakFinding, SoakReliefRequest, SoakReliefKind, SoakRecord } from './SoakTypes.js';
 
 /** Relief requests per run, and the minimum duration of each, ms; a limit is enforced only after 3 s. */
-const RELIEF_REQUESTS = 3;
+const RELIEF_REQUEST_COUNT = 3;
 const MIN_RELIEF_MS = 6_000;
 
 /** Limits that engines name, requests per second. */
@@ -48,7 +48,7 @@
   const next = (): number => uniformFloat64(rng);
   const pick = <T>(items: readonly [T, ...T[]]): T =>
     items[Math.floor(next() * items.length)] ?? items[0];
-  return Array.from({ length: RELIEF_REQUESTS }, () => ({
+  return Array.from({ length: RELIEF_REQUEST_COUNT }, () => ({
     kind: pick<SoakReliefKind>(['limit', 'limit', 'rest', 'leave']),
     host: 1 + Math.floor(next() * endpoints),
     perSecond: pick(LIMITS as [number, ...number[]]),
--- a/soak/__tests__/unit/SoakChecks.test.ts
+++ b/soak/__tests__/unit/SoakChecks.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { failureBody, sealOf } from '../../../platform/__tests__/utils/StandInUnusualAnswers.js';
-import { checkRecord, DRAIN_TIMEOUT_MS, REVOKE_TIMEOUT_MS } from '../../SoakChecks.js';
+import { checkRecord, MAX_DRAIN_MS, MAX_REVOKE_MS } from '../../SoakChecks.js';
 import { plainAnswer, streamEvent, STREAM_EVENTS } from '../../SoakStream.js';
 import type { SoakAttempt, SoakRecord, SoakExecution } from '../../SoakTypes.js';
 
@@ -128,11 +128,11 @@
   'refused means not run': { attempts: [{ ...HOLD_ATTEMPT, status: 503, seal: null, body: '' }] },
   'nothing unasked': { executions: [EXECUTION, { ...EXECUTION, id: 's9' }] },
   'withdrawn keys are dead': {
-    revokedKeys: [{ key: 'key-1', ackedAt: HOLD_ATTEMPT.sentAt - REVOKE_TIMEOUT_MS - 1 }],
+    revokedKeys: [{ key: 'key-1', ackedAt: HOLD_ATTEMPT.sentAt - MAX_REVOKE_MS - 1 }],
   },
   'no configuration reverts': { attempts: [{ ...HOLD_ATTEMPT, status: 401, seal: null }] },
   'a leaving engine gets nothing new': {
-    drains: [{ engine: 'i-1', ackedAt: EXECUTION.at - DRAIN_TIMEOUT_MS - 1 }],
+    drains: [{ engine: 'i-1', ackedAt: EXECUTION.at - MAX_DRAIN_MS - 1 }],
   },
   'a graceful stop cuts nothing off': {
     attempts: [{ ...HOLD_ATTEMPT, outcome: 'broken', body: '' }],
@@ -251,7 +251,7 @@
 
   it('ignore requests that a paused entry host sends to a leaving engine', () => {
     const record = VIOLATIONS['a leaving engine gets nothing new'];
-    const from = EXECUTION.at - DRAIN_TIMEOUT_MS;
+    const from = EXECUTION.at - MAX_DRAIN_MS;
     const pause = { kind: 'entryPause', from, until: EXECUTION.at - 1 };
     assert.deepEqual(rulesOf({ ...record, injectedFaults: [{ ...pause, target: 'entry-1' }] }), []);
     ['entry-2', 'engine-1', 'control-1'].forEach((target) => {
