--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -1,4 +1,4 @@
-/** The group of engines of a soak run: they run requests, announce themselves, crash, leave and misbehave. */
+/** The group of stand-in engines of a soak run: they run requests, send heartbeats, crash, drain and misbehave. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { StandInBehaviour } from '../platform/__tests__/utils/StandInAnswers.js';
 import {
@@ -10,36 +10,36 @@
 import { ENGINE_PORT, type StandInPlatform } from '../platform/__tests__/utils/StandInPlatform.js';
 import { StandInGroup } from '../platform/__tests__/utils/StandInGroup.js';
 import { StandInRank } from '../platform/__tests__/utils/StandInRank.js';
-import { BACK_AFTER_MS, FATAL_BODY } from '../platform/__tests__/utils/StandInFleet.js';
-import type { SoakOddity } from './SoakOddities.js';
+import { RESTART_DELAY_MS, FATAL_PREFIX } from '../platform/__tests__/utils/StandInFleet.js';
+import type { SoakUnusualAnswer } from './SoakUnusualAnswers.js';
 import { STREAM_EVENTS } from './SoakStream.js';
-import type { SoakEngineEnd } from './SoakTypes.js';
+import type { SoakEngineCrash } from './SoakTypes.js';
 
-/** Pause between two events of a stream, ms. */
-const EVENT_MS = 60;
+/** Interval between two events of a stream, ms. */
+const EVENT_INTERVAL_MS = 60;
 
-/** Events after which a stream breaks off, in the middle of the next. */
-const BREAK_AFTER = 4;
+/** Events after which a breaking engine resets a stream, in the middle of the next event. */
+const BREAK_AFTER_EVENTS = 4;
 
-/** Delay of an engine that is late, ms. */
-const LATE_MS = 700;
+/** Delay of an answer's first byte at a delayed engine, ms. */
+const ANSWER_DELAY_MS = 700;
 
-/** The engines. */
+/** The engines, one for each endpoint host; `n` is the number of the host, from 1. */
 export class SoakEngines {
   readonly group: StandInGroup;
 
-  readonly seen: SeenRequest[] = [];
+  readonly receivedRequests: SeenRequest[] = [];
 
   readonly refusals: SeenRefusal[] = [];
 
   readonly answers: SeenAnswer[] = [];
 
-  /** Engines that requests ended. */
-  readonly ends: SoakEngineEnd[] = [];
+  /** Engines that requests crashed. */
+  readonly crashes: SoakEngineCrash[] = [];
 
   readonly #platform: StandInPlatform;
 
-  readonly #setGone: (n: number, isGone: boolean) => Promise<void>;
+  readonly #setRefusing: (n: number, refuses: boolean) => Promise<void>;
 
   readonly #engines = new Map<number, StandInEngine>();
 
@@ -47,20 +47,20 @@
 
   #isStopped = false;
 
-  /** `setGone` has the port before an engine refuse connections while it is gone. */
+  /** `setRefusing` makes the proxied port of an engine refuse or accept connections. */
   constructor(
     platform: StandInPlatform,
     count: number,
-    setGone: (n: number, isGone: boolean) => Promise<void>,
+    setRefusing: (n: number, refuses: boolean) => Promise<void>,
   ) {
     this.#platform = platform;
-    this.#setGone = setGone;
+    this.#setRefusing = setRefusing;
     this.group = new StandInGroup(count);
   }
 
   async start(): Promise<void> {
     const hosts = Array.from({ length: this.group.ranks }, (_item, i) => i + 1);
-    await Promise.all(hosts.map(async (n) => this.#startOne(n)));
+    await Promise.all(hosts.map(async (n) => this.#startEngine(n)));
   }
 
   stop(): void {
@@ -69,73 +69,73 @@
     this.#engines.forEach((engine) => engine.stop());
   }
 
-  /** Ends an engine with all its connections; the group forms anew. A new incarnation comes later. */
+  /** Stops an engine and its connections, and re-forms the group; starts a new incarnation after `forMs`. */
   async crash(n: number, forMs: number, wait: (ms: number) => Promise<void>): Promise<void> {
     this.#engines.get(n)?.stop();
-    await this.#setGone(n, true);
+    await this.#setRefusing(n, true);
     this.group.lockstep.reform();
     await wait(forMs);
-    await this.#startOne(n);
+    await this.#startEngine(n);
   }
 
-  /** Says that an engine leaves; its id, and when that was acknowledged; null if it wasn't. */
+  /** Reports an engine as draining; its id, and when that was acknowledged, or null if it wasn't. */
   async drain(n: number, now: () => number): Promise<{ engine: string; ackedAt: number } | null> {
     const engine = this.#engines.get(n);
     if (engine === undefined) {
       return null;
     }
     engine.state = 'draining';
-    const acked = await engine.beatOnce(this.#platform.controls);
+    const acked = await engine.sendHeartbeatOnce(this.#platform.controls);
     return acked ? { engine: engine.id, ackedAt: now() } : null;
   }
 
-  /** Replaces an engine that has left by a new incarnation. */
-  async renew(n: number): Promise<void> {
-    await this.#startOne(n);
+  /** Replaces a drained engine by a new incarnation. */
+  async replace(n: number): Promise<void> {
+    await this.#startEngine(n);
   }
 
-  setBreaking(n: number, breaks: boolean): void {
+  setBreakingStreams(n: number, breaks: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { breakAfter: breaks ? BREAK_AFTER : null });
+      Object.assign(behaviour, { breakAfter: breaks ? BREAK_AFTER_EVENTS : null });
     });
   }
 
-  setLate(n: number, late: boolean): void {
+  setDelayed(n: number, isDelayed: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      Object.assign(behaviour, { lateMs: late ? LATE_MS : 0 });
+      Object.assign(behaviour, { delayMs: isDelayed ? ANSWER_DELAY_MS : 0 });
     });
   }
 
-  setLosingOrders(n: number, loses: boolean): void {
+  setDroppingOrderReplies(n: number, drops: boolean): void {
     this.#change(n, ({ rank }) => {
       if (rank !== null) {
-        Object.assign(rank, { losesOrders: loses });
+        Object.assign(rank, { dropsOrderReplies: drops });
       }
     });
   }
 
-  /** Has an engine give one kind of unusual answers, or no longer. */
-  setOdd(n: number, oddity: SoakOddity, isOn: boolean): void {
+  /** Turns one kind of unusual answers of an engine on or off. */
+  setUnusualAnswer(n: number, kind: SoakUnusualAnswer, isOn: boolean): void {
     this.#change(n, ({ behaviour }) => {
-      if (oddity === 'extra' || oddity === 'resetUnframed') {
-        Object.assign(behaviour, { [oddity]: isOn });
+      if (kind === 'extra' || kind === 'resetUnframed') {
+        Object.assign(behaviour, { [kind]: isOn });
       } else if (isOn) {
-        behaviour.odd.add(oddity);
+        behaviour.unusual.add(kind);
       } else {
-        behaviour.odd.delete(oddity);
+        behaviour.unusual.delete(kind);
       }
     });
   }
 
-  /** Has an engine ask for relief in its answers, until the result is called; its id. */
-  setNeed(
+  /** Makes an engine request relief in its answers until `end` is called; returns its id too. */
+  startRelief(
     n: number,
-    need: Partial<StandInBehaviour>,
+    relief: Partial<StandInBehaviour>,
   ): { readonly engine: string; readonly end: () => void } {
     const engine = this.#engines.get(n);
-    Object.assign(engine?.behaviour ?? {}, need);
+    Object.assign(engine?.behaviour ?? {}, relief);
     const end = (): void => {
-      Object.assign(engine?.behaviour ?? {}, { limit: null, restS: null, leaving: false });
+      Object.assign(engine?.behaviour ?? {}, { limit: null, retryAfterS: null, leaving: false });
     };
     return { engine: engine?.id ?? '', end };
   }
@@ -147,37 +147,42 @@
     }
   }
 
-  /** An engine that a request has ended comes back, unless something else has replaced it meanwhile. */
-  async #comeBack(n: number, ended: StandInEngine): Promise<void> {
-    await this.#setGone(n, true);
+  /** Restarts an engine that a request crashed, unless it has been replaced meanwhile. */
+  async #restart(n: number, crashed: StandInEngine): Promise<void> {
+    await this.#setRefusing(n, true);
     this.group.lockstep.reform();
-    await delay(BACK_AFTER_MS);
-    if (this.#engines.get(n) === ended && !this.#isStopped) {
-      await this.#startOne(n);
+    await delay(RESTART_DELAY_MS);
+    if (this.#engines.get(n) === crashed && !this.#isStopped) {
+      await this.#startEngine(n);
     }
   }
 
-  /** Starts an engine in the place of whatever is there: two disturbances of one engine may overlap. */
-  async #startOne(n: number): Promise<void> {
+  /** Starts an engine, and stops the one that it replaces: two faults of one engine may overlap. */
+  async #startEngine(n: number): Promise<void> {
     this.#engines.get(n)?.stop();
     this.#incarnation += 1;
     const { inside, outside } = this.#platform.engineHost(n);
     const rank = new StandInRank(this.group, n - 1);
-    const engine = new StandInEngine(`i-${n}-${this.#incarnation}`, 'writers', rank, this.seen);
+    const engine = new StandInEngine(
+      `i-${n}-${this.#incarnation}`,
+      'writers',
+      rank,
+      this.receivedRequests,
+    );
     Object.assign(engine.behaviour, {
       events: STREAM_EVENTS,
-      pauseMs: EVENT_MS,
-      fatal: FATAL_BODY,
+      pauseMs: EVENT_INTERVAL_MS,
+      fatalPrefix: FATAL_PREFIX,
     });
     engine.onRefusal = (refusal) => this.refusals.push(refusal);
     engine.onAnswer = (answer) => this.answers.push(answer);
     engine.onCrash = (body) => {
-      this.ends.push({ body, engine: engine.id, at: performance.now() });
-      this.#comeBack(n, engine).catch(() => undefined);
+      this.crashes.push({ body, engine: engine.id, at: performance.now() });
+      this.#restart(n, engine).catch(() => undefined);
     };
     this.#engines.set(n, engine);
-    const place = { host: inside, port: ENGINE_PORT, reported: outside };
-    await engine.start(place, this.#platform.controls);
-    await this.#setGone(n, false);
+    const listener = { host: inside, port: ENGINE_PORT, reported: outside };
+    await engine.start(listener, this.#platform.controls);
+    await this.#setRefusing(n, false);
   }
 }
--- a/soak/SoakProxy.ts
+++ b/soak/SoakProxy.ts
@@ -1,12 +1,12 @@
-/** Loopback proxy before the ports of hosts: it delays, resets, silences connections, or cuts one way. */
+/** Loopback TCP proxy in front of the hosts' ports: delays, resets or silences connections, or cuts one direction. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { resetSocket } from '../src/transport/index.js';
 
-/** What a proxy does to the data of a host. */
+/** What the proxy does to the data of a host. */
 export type ProxyMode = 'pass' | 'delay' | 'cutInward' | 'cutOutward';
 
-/** A port that is stood before. */
+/** A port to proxy: the proxy listens at `outside` and connects to `inside`, both IP addresses. */
 export interface ProxyPort {
   readonly host: string;
   readonly port: number;
@@ -14,10 +14,10 @@
   readonly outside: string;
 }
 
-/** Delay of each piece of data in the mode `delay`, ms: some fifty times that between AZs. */
+/** Delay of each piece of data in the mode `delay`, ms: about fifty times the delay between availability zones. */
 const DELAY_MS = 80;
 
-interface Pair {
+interface ProxiedConnection {
   readonly host: string;
   readonly caller: Socket;
   readonly callee: Socket;
@@ -38,129 +38,129 @@
   });
 }
 
-/** Proxies before all ports of a run; nothing is lost in it but by a reset or a silence. */
+/** Proxies all ports of a run; it loses data only by a reset or a silence. */
 export class SoakProxy {
   readonly #servers = new Map<string, Server>();
 
-  readonly #pairs = new Set<Pair>();
+  readonly #connections = new Set<ProxiedConnection>();
 
-  readonly #turns = new Map<string, Promise<void>>();
+  readonly #portQueues = new Map<string, Promise<void>>();
 
   #isClosed = false;
 
   readonly #modes = new Map<string, ProxyMode>();
 
   async listen(ports: readonly ProxyPort[]): Promise<void> {
-    await Promise.all(ports.map(async (port) => this.#listen(port)));
+    await Promise.all(ports.map(async (proxyPort) => this.#listen(proxyPort)));
   }
 
-  /** Refuses new connections to a port, as a host does whose process is gone, or takes them again. */
-  async setRefusing(place: ProxyPort, refuses: boolean): Promise<void> {
-    const key = keyOf(place);
-    // One after the other: a server that is about to listen can't be told so again.
-    const before = this.#turns.get(key) ?? Promise.resolve();
-    const turn = before.then(async () => this.#refuse(place, refuses));
-    this.#turns.set(key, turn);
-    return turn;
+  /** Refuses new connections to a port, as a host whose process has exited does, or accepts them again. */
+  async setRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
+    const key = keyOf(proxyPort);
+    // Calls run one after another: `listen` must not be called again while a server is starting to listen.
+    const previous = this.#portQueues.get(key) ?? Promise.resolve();
+    const queued = previous.then(async () => this.#applyRefusing(proxyPort, refuses));
+    this.#portQueues.set(key, queued);
+    return queued;
   }
 
-  /** Sets what is done to a host's data; what a cut held back goes on when it ends. */
+  /** Sets the mode of a host; data that a cut held back is forwarded once the cut ends. */
   setMode(host: string, mode: ProxyMode): void {
     this.#modes.set(host, mode);
-    this.#pairs.forEach((pair) => this.#apply(pair));
+    this.#connections.forEach((connection) => this.#applyMode(connection));
   }
 
   /** Resets all connections of a host. */
   reset(host: string): void {
-    this.#of(host).forEach(({ caller, callee }) => {
+    this.#connectionsOf(host).forEach(({ caller, callee }) => {
       resetSocket(caller);
       resetSocket(callee);
     });
   }
 
-  /** Open connections of a host go silent for good; new ones work. */
+  /** Stops forwarding on the open connections of a host for good, without closing them; new ones work. */
   silence(host: string): void {
-    this.#of(host).forEach((pair) => {
+    this.#connectionsOf(host).forEach((connection) => {
       // eslint-disable-next-line no-param-reassign
-      pair.silent = true;
-      this.#apply(pair);
+      connection.silent = true;
+      this.#applyMode(connection);
     });
   }
 
   close(): void {
     this.#isClosed = true;
     this.#servers.forEach((server) => server.close());
-    this.#pairs.forEach(({ caller, callee }) => {
+    this.#connections.forEach(({ caller, callee }) => {
       caller.destroy();
       callee.destroy();
     });
   }
 
-  #of(host: string): readonly Pair[] {
-    return [...this.#pairs].filter((pair) => pair.host === host);
+  #connectionsOf(host: string): readonly ProxiedConnection[] {
+    return [...this.#connections].filter((connection) => connection.host === host);
   }
 
-  async #refuse(place: ProxyPort, refuses: boolean): Promise<void> {
-    const server = this.#servers.get(keyOf(place));
+  async #applyRefusing(proxyPort: ProxyPort, refuses: boolean): Promise<void> {
+    const server = this.#servers.get(keyOf(proxyPort));
     if (refuses) {
       server?.close();
     } else if (server?.listening === false && !this.#isClosed) {
-      await listenOn(server, place);
+      await listenOn(server, proxyPort);
     }
   }
 
-  async #listen(place: ProxyPort): Promise<void> {
-    const { host, port, inside } = place;
+  async #listen(proxyPort: ProxyPort): Promise<void> {
+    const { host, port, inside } = proxyPort;
     const server = createServer({ allowHalfOpen: true, pauseOnConnect: true }, (caller) => {
-      this.#join(host, caller, connect({ host: inside, port, allowHalfOpen: true }));
+      this.#addConnection(host, caller, connect({ host: inside, port, allowHalfOpen: true }));
     });
-    this.#servers.set(keyOf(place), server);
-    await listenOn(server, place);
+    this.#servers.set(keyOf(proxyPort), server);
+    await listenOn(server, proxyPort);
   }
 
-  #join(host: string, caller: Socket, callee: Socket): void {
-    const pair: Pair = { host, caller, callee, silent: false };
-    this.#pairs.add(pair);
-    this.#pass(pair, caller, callee);
-    this.#pass(pair, callee, caller);
-    callee.once('connect', () => this.#apply(pair));
+  #addConnection(host: string, caller: Socket, callee: Socket): void {
+    const connection: ProxiedConnection = { host, caller, callee, silent: false };
+    this.#connections.add(connection);
+    this.#forward(connection, caller, callee);
+    this.#forward(connection, callee, caller);
+    callee.once('connect', () => this.#applyMode(connection));
   }
 
-  #pass(pair: Pair, from: Socket, to: Socket): void {
-    // One after the other: what comes after a delay has ended must not overtake what was delayed.
-    let before = Promise.resolve();
-    const inTurn = (task: () => void): void => {
-      const delayMs = this.#modes.get(pair.host) === 'delay' ? DELAY_MS : 0;
-      const due = delayMs === 0 ? Promise.resolve() : delay(delayMs);
-      before = before.then(async () => due).then(task);
+  #forward(connection: ProxiedConnection, from: Socket, to: Socket): void {
+    // Queued, so that data received after a delay has ended doesn't overtake delayed data.
+    let previous = Promise.resolve();
+    const enqueue = (task: () => void): void => {
+      const delayMs = this.#modes.get(connection.host) === 'delay' ? DELAY_MS : 0;
+      const elapsed = delayMs === 0 ? Promise.resolve() : delay(delayMs);
+      previous = previous.then(async () => elapsed).then(task);
     };
     from.setNoDelay(true);
-    from.on('data', (data: Buffer) => inTurn(() => to.write(data)));
-    from.on('end', () => inTurn(() => to.end()));
+    from.on('data', (data: Buffer) => enqueue(() => to.write(data)));
+    from.on('end', () => enqueue(() => to.end()));
     from.on('error', () => {
-      if (!pair.silent) {
+      if (!connection.silent) {
         resetSocket(to);
       }
     });
     from.on('close', () => {
-      this.#pairs.delete(pair);
-      if (!pair.silent && !from.readableEnded) {
+      this.#connections.delete(connection);
+      if (!connection.silent && !from.readableEnded) {
         to.destroy();
       }
     });
   }
 
-  /** Pauses each direction that the mode, or the pair's own silence, holds back. */
-  #apply({ host, caller, callee, silent }: Pair): void {
+  /** Pauses or resumes each direction, by the host's mode and the connection's own silence. */
+  #applyMode({ host, caller, callee, silent }: ProxiedConnection): void {
     const mode = this.#modes.get(host) ?? 'pass';
-    const hold = (socket: Socket, isHeld: boolean): void => {
-      if (isHeld) {
+    const setPaused = (socket: Socket, isPaused: boolean): void => {
+      if (isPaused) {
         socket.pause();
       } else {
         socket.resume();
       }
     };
-    hold(caller, silent || mode === 'cutInward');
-    hold(callee, silent || mode === 'cutOutward');
+    setPaused(caller, silent || mode === 'cutInward');
+    setPaused(callee, silent || mode === 'cutOutward');
   }
 }
