--- a/fakes/FakeEngine.ts
+++ b/fakes/FakeEngine.ts
@@ -16,7 +16,7 @@
   /** How old a load report is, ms. */
   readonly loadLagMs?: number;
   /** Ends the engine; called when it begins to run a request that says so. */
-  readonly end?: () => void;
+  readonly crash?: () => void;
 }
 
 interface CompletionBody {
@@ -56,7 +56,7 @@
 export const FINAL_EVENT = 'data: [DONE]\n\n';
 
 /** The answer to a request that is not streamed. */
-export function wholeAnswer(body: CompletionBody): string {
+export function nonStreamedAnswer(body: CompletionBody): string {
   const content = answerTokens(body).join('');
   const choice = { index: 0, message: { role: 'assistant', content } };
   return JSON.stringify({ id: answerId(body), model: body.model, choices: [choice] });
@@ -66,7 +66,7 @@
 export function expectedAnswer(body: CompletionBody): string {
   return body.stream === true
     ? [...answerTokens(body).map((token) => tokenEvent(body, token)), FINAL_EVENT].join('')
-    : wholeAnswer(body);
+    : nonStreamedAnswer(body);
 }
 
 async function readText(req: IncomingMessage): Promise<string> {
@@ -78,14 +78,14 @@
 const CACHE_SIZE = 64;
 
 /** Every so many cache events one is lost. */
-const EVENT_GAP = 7;
+const LOST_EVENT_INTERVAL = 7;
 
 function prefixOf(body: CompletionBody): string {
   return JSON.stringify(body.prompt ?? body.messages ?? '').slice(0, 64);
 }
 
 /** Small requests beside completions: what an engine tells and takes. */
-type SideHandler = (req: IncomingMessage) => Promise<unknown>;
+type ManagementHandler = (req: IncomingMessage) => Promise<unknown>;
 
 /** A model engine on one port. */
 export class FakeEngine {
@@ -94,7 +94,7 @@
   /** How often each request was begun, by its `user` field. */
   readonly #runs = new Map<string, number>();
 
-  readonly #waiting: (() => void)[] = [];
+  readonly #slotWaiters: (() => void)[] = [];
 
   readonly #orders: FakeOrders;
 
@@ -105,17 +105,20 @@
 
   readonly #cancelled = new Set<string>();
 
-  readonly #side: Readonly<Record<string, SideHandler>> = {
+  readonly #managementHandlers: Readonly<Record<string, ManagementHandler>> = {
     'GET /runs': async () => Object.fromEntries(this.#runs),
-    'GET /load': async () => this.#reported,
-    'GET /cache-events': async () => this.#events.filter(({ seq }) => seq % EVENT_GAP !== 0),
+    'GET /load': async () => this.#reportedLoad,
+    'GET /cache-events': async () =>
+      this.#events.filter(({ seq }) => seq % LOST_EVENT_INTERVAL !== 0),
     'GET /kv': async () => [...this.#cache],
     'POST /kv': async (req) => {
-      (JSON.parse(await readText(req)) as readonly string[]).forEach((key) => this.#remember(key));
+      (JSON.parse(await readText(req)) as readonly string[]).forEach((key) =>
+        this.#cachePrefix(key),
+      );
       return { held: this.#cache.size };
     },
     'GET /orders': async () => this.#orders.state,
-    'POST /orders': async (req) => this.#orders.take(JSON.parse(await readText(req)) as FakeOrder),
+    'POST /orders': async (req) => this.#orders.apply(JSON.parse(await readText(req)) as FakeOrder),
     'POST /cancel': async (req) => {
       this.#cancelled.add(await readText(req));
       return {};
@@ -124,7 +127,7 @@
 
   #running = 0;
 
-  #reported = { running: 0, queued: 0, slots: 0 };
+  #reportedLoad = { running: 0, queued: 0, slots: 0 };
 
   constructor(options: FakeEngineOptions) {
     this.#options = options;
@@ -147,26 +150,26 @@
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const side = this.#side[`${req.method ?? ''} ${req.url ?? ''}`];
-    if (side !== undefined) {
-      res.end(JSON.stringify(await side(req)));
+    const managementHandler = this.#managementHandlers[`${req.method ?? ''} ${req.url ?? ''}`];
+    if (managementHandler !== undefined) {
+      res.end(JSON.stringify(await managementHandler(req)));
       return;
     }
     const body = JSON.parse(await readText(req)) as CompletionBody;
     const user = body.user ?? '';
     this.#runs.set(user, (this.#runs.get(user) ?? 0) + 1);
-    await this.#takeSlot();
+    await this.#acquireSlot();
     const offset = Number(req.headers['x-resume-offset'] ?? 0);
     try {
       await this.#answer(body, res, offset);
     } finally {
       this.#running -= 1;
-      this.#waiting.shift()?.();
+      this.#slotWaiters.shift()?.();
       this.#reportLoad();
     }
   }
 
-  #remember(prefix: string): void {
+  #cachePrefix(prefix: string): void {
     this.#cache.delete(prefix);
     this.#cache.add(prefix);
     this.#events.push({ seq: this.#events.length + 1, added: prefix });
@@ -180,18 +183,18 @@
   #reportLoad(): void {
     const load = {
       running: this.#running,
-      queued: this.#waiting.length,
+      queued: this.#slotWaiters.length,
       slots: this.#options.slots,
     };
     setTimeout(() => {
-      this.#reported = load;
+      this.#reportedLoad = load;
     }, this.#options.loadLagMs ?? 0).unref();
   }
 
-  async #takeSlot(): Promise<void> {
+  async #acquireSlot(): Promise<void> {
     if (this.#running >= this.#options.slots) {
       await new Promise<void>((resolve) => {
-        this.#waiting.push(resolve);
+        this.#slotWaiters.push(resolve);
       });
     }
     this.#running += 1;
@@ -201,15 +204,15 @@
     const { prefillMs, tokenMs } = this.#options;
     const prefix = prefixOf(body);
     await delay(this.#cache.has(prefix) ? prefillMs / 4 : prefillMs);
-    this.#remember(prefix);
+    this.#cachePrefix(prefix);
     this.#reportLoad();
     if (body.fatal === true) {
-      this.#options.end?.();
+      this.#options.crash?.();
     }
     if (body.stream !== true) {
       await delay(tokenMs * answerTokens(body).length);
       res.writeHead(200, { 'content-type': 'application/json' });
-      res.end(wholeAnswer(body));
+      res.end(nonStreamedAnswer(body));
       return;
     }
     res.writeHead(200, { 'content-type': 'text/event-stream' });
--- a/fakes/FakeGroup.ts
+++ b/fakes/FakeGroup.ts
@@ -56,12 +56,12 @@
   readonly stalled: boolean;
 }
 
-type Take<K extends FakeRankOrder['kind']> = (
+type OrderHandler<K extends FakeRankOrder['kind']> = (
   rank: Rank,
   order: Extract<FakeRankOrder, { kind: K }>,
 ) => Rank | null;
 
-const TAKE: { readonly [K in FakeRankOrder['kind']]: Take<K> } = {
+const ORDER_HANDLERS: { readonly [K in FakeRankOrder['kind']]: OrderHandler<K> } = {
   prepare: (rank, { version, map }) =>
     rank.armed === null && version > rank.version ? { ...rank, prepared: { version, map } } : null,
   arm: (rank, { version, step }) =>
@@ -87,7 +87,7 @@
 }
 
 /** A rank that is armed and doesn't know what became of the version waits rather than guesses. */
-function isWilling({ stalled, armed, committed }: Rank, step: number): boolean {
+function canRunStep({ stalled, armed, committed }: Rank, step: number): boolean {
   return !stalled && (armed === null || step < armed.step || committed === armed.version);
 }
 
@@ -99,7 +99,7 @@
 
   #step = 0;
 
-  #mixed = 0;
+  #mixedSteps = 0;
 
   constructor(ranks: number, map: FakeMap, fencing = true) {
     this.#fencing = fencing;
@@ -117,7 +117,7 @@
 
   /** Steps in which ranks used different maps: must stay 0. */
   get mixedSteps(): number {
-    return this.#mixed;
+    return this.#mixedSteps;
   }
 
   get versions(): readonly number[] {
@@ -125,18 +125,21 @@
   }
 
   /** Gives an order to one rank. */
-  order(index: number, order: FakeRankOrder): FakeRankReply {
+  applyOrder(index: number, order: FakeRankOrder): FakeRankReply {
     const rank = this.#ranks[index];
     if (rank === undefined) {
       throw new Error(`no rank ${index}`);
     }
     const stale = this.#fencing && order.token < rank.highest;
-    const take = TAKE[order.kind] as (rank: Rank, order: FakeRankOrder) => Rank | null;
-    const taken = stale ? null : take(rank, order);
-    const next = { ...(taken ?? rank), highest: Math.max(rank.highest, order.token) };
-    this.#set(index, next);
+    const applyOrderKind = ORDER_HANDLERS[order.kind] as (
+      rank: Rank,
+      order: FakeRankOrder,
+    ) => Rank | null;
+    const updated = stale ? null : applyOrderKind(rank, order);
+    const next = { ...(updated ?? rank), highest: Math.max(rank.highest, order.token) };
+    this.#setRank(index, next);
     return {
-      accepted: taken !== null,
+      accepted: updated !== null,
       highest: next.highest,
       version: next.version,
       prepared: next.prepared?.version ?? null,
@@ -148,44 +151,46 @@
   }
 
   /** A stalled rank runs no step, so the group runs none. */
-  stall(index: number, stalled: boolean): void {
+  setStalled(index: number, stalled: boolean): void {
     const rank = this.#ranks[index];
     if (rank !== undefined) {
-      this.#set(index, { ...rank, stalled });
+      this.#setRank(index, { ...rank, stalled });
     }
   }
 
   /** Runs one step if all ranks are willing. `load[layer][expert]` counts tokens. */
-  run(load: readonly (readonly number[])[]): FakeStep {
+  runStep(load: readonly (readonly number[])[]): FakeStep {
     const step = this.#step + 1;
-    const waiting = this.#ranks.flatMap((rank, i) => (isWilling(rank, step) ? [] : [i]));
+    const waiting = this.#ranks.flatMap((rank, i) => (canRunStep(rank, step) ? [] : [i]));
     if (waiting.length > 0) {
       return { step, ran: false, waiting, rankLoad: [] };
     }
     this.#step = step;
     this.#ranks = this.#ranks.map((rank) => activate(rank, step));
     if (new Set(this.versions).size > 1) {
-      this.#mixed += 1;
+      this.#mixedSteps += 1;
     }
-    return { step, ran: true, waiting, rankLoad: this.#loads(load) };
+    return { step, ran: true, waiting, rankLoad: this.#rankLoads(load) };
   }
 
   /** Load of an expert is shared evenly by the ranks that hold a replica. */
-  #loads(load: readonly (readonly number[])[]): readonly number[] {
+  #rankLoads(load: readonly (readonly number[])[]): readonly number[] {
     return this.#ranks.map(({ map }, rank) =>
       load.reduce(
         (sum, experts, layer) =>
           sum +
-          (map[layer]?.[rank] ?? []).reduce((part, expert) => {
-            const holders = (map[layer] ?? []).filter((held) => held.includes(expert)).length;
-            return part + (experts[expert] ?? 0) / holders;
+          (map[layer]?.[rank] ?? []).reduce((layerSum, expert) => {
+            const replicaCount = (map[layer] ?? []).filter((rankExperts) =>
+              rankExperts.includes(expert),
+            ).length;
+            return layerSum + (experts[expert] ?? 0) / replicaCount;
           }, 0),
         0,
       ),
     );
   }
 
-  #set(index: number, rank: Rank): void {
+  #setRank(index: number, rank: Rank): void {
     this.#ranks = this.#ranks.map((known, i) => (i === index ? rank : known));
   }
 }
--- a/fakes/FakeLockstep.ts
+++ b/fakes/FakeLockstep.ts
@@ -13,7 +13,7 @@
   readonly held: number | null;
 }
 
-const FIRST: Rank = {
+const INITIAL_RANK: Rank = {
   version: 0,
   map: 'first',
   highest: 0,
@@ -22,25 +22,27 @@
   held: null,
 };
 
-type Take<K extends EngineOrder['kind']> = (
+type OrderHandler<K extends EngineOrder['kind']> = (
   rank: Rank,
   order: Extract<EngineOrder, { kind: K }>,
   step: number,
 ) => Rank | null;
 
-const TAKE: { readonly [K in EngineOrder['kind']]: Take<K> } = {
+const ORDER_HANDLERS: { readonly [K in EngineOrder['kind']]: OrderHandler<K> } = {
   prepare: (rank, { version, map }) =>
     version > rank.highest && rank.armed === null
       ? { ...rank, highest: version, prepared: { version, map: JSON.stringify(map) } }
       : null,
-  arm: (rank, { version, step }, begun) =>
-    rank.prepared?.version === version && step > begun
+  arm: (rank, { version, step }, currentStep) =>
+    rank.prepared?.version === version && step > currentStep
       ? { ...rank, armed: { version, step } }
       : null,
   disarm: (rank, { version }) =>
     rank.armed?.version === version ? { ...rank, armed: null } : null,
-  hold: (rank, { step }, begun) =>
-    step > begun && (rank.held === null || rank.held === step) ? { ...rank, held: step } : null,
+  hold: (rank, { step }, currentStep) =>
+    step > currentStep && (rank.held === null || rank.held === step)
+      ? { ...rank, held: step }
+      : null,
   release: (rank, { step }) => (rank.held === step ? { ...rank, held: null } : null),
 };
 
@@ -52,15 +54,15 @@
 
   #step = 0;
 
-  #mixed = 0;
+  #mixedPasses = 0;
 
   constructor(ranks: number) {
-    this.#ranks = Array.from({ length: ranks }, () => FIRST);
+    this.#ranks = Array.from({ length: ranks }, () => INITIAL_RANK);
   }
 
   /** Passes that began while ranks used different maps. */
-  get mixed(): number {
-    return this.#mixed;
+  get mixedPasses(): number {
+    return this.#mixedPasses;
   }
 
   get step(): number {
@@ -72,21 +74,25 @@
   }
 
   /** Carries an order out; false where it doesn't fit. */
-  take(at: number, order: EngineOrder): boolean {
-    const rank = this.#ranks[at];
+  applyOrder(index: number, order: EngineOrder): boolean {
+    const rank = this.#ranks[index];
     if (rank === undefined || order.epoch !== this.#epoch) {
       return false;
     }
-    const take = TAKE[order.kind] as (state: Rank, item: EngineOrder, step: number) => Rank | null;
-    const next = take(rank, order, this.#step);
+    const applyOrderKind = ORDER_HANDLERS[order.kind] as (
+      state: Rank,
+      item: EngineOrder,
+      step: number,
+    ) => Rank | null;
+    const next = applyOrderKind(rank, order, this.#step);
     if (next !== null) {
-      this.#ranks = this.#ranks.map((other, i) => (i === at ? next : other));
+      this.#ranks = this.#ranks.map((other, i) => (i === index ? next : other));
     }
     return next !== null;
   }
 
   /** Begins the next pass, unless a rank holds it. */
-  pass(): void {
+  runPass(): void {
     const next = this.#step + 1;
     if (this.#ranks.some(({ held }) => held !== null && held <= next)) {
       return;
@@ -104,22 +110,22 @@
         : rank,
     );
     if (new Set(this.#ranks.map(({ version, map }) => `${version} ${map}`)).size > 1) {
-      this.#mixed += 1;
+      this.#mixedPasses += 1;
     }
   }
 
   /** All ranks start anew, as after one has crashed. */
-  reform(): void {
+  restart(): void {
     this.#epoch += 1;
-    this.#ranks = this.#ranks.map(() => FIRST);
+    this.#ranks = this.#ranks.map(() => INITIAL_RANK);
   }
 
-  report(at: number): RankReport {
-    const rank = this.#ranks[at] ?? FIRST;
+  report(index: number): RankReport {
+    const rank = this.#ranks[index] ?? INITIAL_RANK;
     return {
       group: 'g',
       epoch: this.#epoch,
-      rank: at,
+      rank: index,
       ranks: this.#ranks.length,
       open: true,
       step: this.#step,
@@ -135,9 +141,9 @@
   }
 
   /** The map that a rank uses; null for the one it starts with. */
-  mapOf(at: number): GroupMap | null {
-    const map = this.#ranks[at]?.map;
-    return map === undefined || map === FIRST.map ? null : (JSON.parse(map) as GroupMap);
+  mapOf(index: number): GroupMap | null {
+    const map = this.#ranks[index]?.map;
+    return map === undefined || map === INITIAL_RANK.map ? null : (JSON.parse(map) as GroupMap);
   }
 
   /** A map in use, as a coordinator would read it. */
--- a/fakes/FakeMain.ts
+++ b/fakes/FakeMain.ts
@@ -17,14 +17,14 @@
       tokenMs: Number(tokenMs),
       // It dies as a process does that meets a request it can't bear.
       // eslint-disable-next-line n/no-process-exit
-      end: () => process.exit(1),
+      crash: () => process.exit(1),
     }),
   service: () => new FakeService(5),
 };
 
-const make = KINDS[kind ?? ''];
+const createStandIn = KINDS[kind ?? ''];
 const address = parseAddress(listen);
-if (make === undefined || address === undefined) {
+if (createStandIn === undefined || address === undefined) {
   throw new Error(`no stand-in "${kind ?? ''}" at "${listen}"`);
 }
 process.once('SIGTERM', () => {
@@ -32,4 +32,4 @@
   // eslint-disable-next-line n/no-process-exit
   process.exit(0);
 });
-await make().listen(address.port, address.host);
+await createStandIn().listen(address.port, address.host);
--- a/fakes/FakeOrders.ts
+++ b/fakes/FakeOrders.ts
@@ -13,7 +13,7 @@
   readonly highest: number;
 }
 
-const KNOWN = new Set([
+const KNOWN_ORDERS = new Set([
   'load-model',
   'unload-model',
   'load-adapter',
@@ -39,10 +39,10 @@
   }
 
   /** An engine with fencing refuses a token lower than the highest seen; another takes any. */
-  take({ order, token, value }: FakeOrder): FakeOrderReply {
+  apply({ order, token, value }: FakeOrder): FakeOrderReply {
     const stale = this.#fencing && token < this.#highest;
     this.#highest = Math.max(this.#highest, token);
-    const accepted = KNOWN.has(order) && !stale;
+    const accepted = KNOWN_ORDERS.has(order) && !stale;
     if (accepted) {
       this.#state.set(order, value);
     }
--- a/fakes/__tests__/unit/MapCommit.test.ts
+++ b/fakes/__tests__/unit/MapCommit.test.ts
@@ -25,7 +25,7 @@
 }
 
 /** Real coordinators before the stand-in group, over a network that loses, doubles and reorders. */
-class Bench {
+class Simulation {
   readonly group = new FakeGroup(RANKS, MAP);
 
   orders: Packet[] = [];
@@ -55,14 +55,14 @@
   deliver({ who, rank, order }: Packet): void {
     const sent: FakeRankOrder =
       order.kind === 'prepare' ? { ...order, kind: 'prepare', map: MAP } : (order as FakeRankOrder);
-    const status = this.group.order(rank, sent);
+    const status = this.group.applyOrder(rank, sent);
     const { accepted } = status;
     const { kind, token } = order;
     this.answers.push({ who, input: { type: 'answer', rank, token, kind, accepted, status } });
   }
 
   /** Runs on without faults until the second coordinator is ready. */
-  settle(who: number): void {
+  runUntilReady(who: number): void {
     for (let i = 0; i < 400 && this.phase(who) !== 'ready'; i += 1) {
       this.now += 250;
       this.input(who, { type: 'tick' });
@@ -72,37 +72,37 @@
       const { answers } = this;
       this.answers = [];
       answers.forEach((answer) => this.input(answer.who, answer.input));
-      this.group.run(LOAD);
+      this.group.runStep(LOAD);
     }
     assert.equal(this.phase(who), 'ready');
   }
 }
 
-const at = <T>(items: readonly T[], i: number): T | undefined =>
+const itemAt = <T>(items: readonly T[], i: number): T | undefined =>
   items[i % Math.max(1, items.length)];
 
-const ACTIONS: readonly ((bench: Bench, n: number) => void)[] = [
-  ...Array.from({ length: 4 }, () => (bench: Bench, n: number) => {
-    const packet = at(bench.orders, n);
+const ACTIONS: readonly ((simulation: Simulation, n: number) => void)[] = [
+  ...Array.from({ length: 4 }, () => (simulation: Simulation, n: number) => {
+    const packet = itemAt(simulation.orders, n);
     if (packet !== undefined) {
-      bench.deliver(packet);
+      simulation.deliver(packet);
     }
   }),
-  ...Array.from({ length: 3 }, () => (bench: Bench, n: number) => {
-    const answer = at(bench.answers, n);
+  ...Array.from({ length: 3 }, () => (simulation: Simulation, n: number) => {
+    const answer = itemAt(simulation.answers, n);
     if (answer !== undefined) {
-      bench.input(answer.who, answer.input);
+      simulation.input(answer.who, answer.input);
     }
   }),
-  (bench, n) => bench.input(n % 2, { type: 'propose' }),
-  (bench, n) => {
-    Object.assign(bench, { now: bench.now + (n % 5 === 0 ? 61_000 : 600) });
-    bench.input(n % 2, { type: 'tick' });
+  (simulation, n) => simulation.input(n % 2, { type: 'propose' }),
+  (simulation, n) => {
+    Object.assign(simulation, { now: simulation.now + (n % 5 === 0 ? 61_000 : 600) });
+    simulation.input(n % 2, { type: 'tick' });
   },
-  (bench) => Array.from({ length: 20 }, () => bench.group.run(LOAD)),
-  (bench) => {
-    if (bench.phase(1) === 'idle') {
-      bench.input(1, { type: 'gained', token: 2 });
+  (simulation) => Array.from({ length: 20 }, () => simulation.group.runStep(LOAD)),
+  (simulation) => {
+    if (simulation.phase(1) === 'idle') {
+      simulation.input(1, { type: 'gained', token: 2 });
     }
   },
 ];
@@ -115,33 +115,33 @@
     const action = fc.tuple(fc.nat(ACTIONS.length - 1), fc.nat(1_000));
     fc.assert(
       fc.property(fc.array(action, { minLength: 30, maxLength: 300 }), (actions) => {
-        const bench = new Bench();
-        bench.input(0, { type: 'gained', token: 1 });
-        actions.forEach(([kind, n]) => ACTIONS[kind]?.(bench, n));
-        bench.input(1, { type: 'gained', token: 3 });
-        bench.settle(1);
-        bench.settle(1);
-        Array.from({ length: 80 }, () => bench.group.run(LOAD));
-        assert.equal(bench.group.mixedSteps, 0);
-        assert.equal(new Set(bench.group.versions).size, 1);
-        assert.equal(bench.group.run(LOAD).ran, true);
+        const simulation = new Simulation();
+        simulation.input(0, { type: 'gained', token: 1 });
+        actions.forEach(([kind, n]) => ACTIONS[kind]?.(simulation, n));
+        simulation.input(1, { type: 'gained', token: 3 });
+        simulation.runUntilReady(1);
+        simulation.runUntilReady(1);
+        Array.from({ length: 80 }, () => simulation.group.runStep(LOAD));
+        assert.equal(simulation.group.mixedSteps, 0);
+        assert.equal(new Set(simulation.group.versions).size, 1);
+        assert.equal(simulation.group.runStep(LOAD).ran, true);
       }),
       { seed: 20_261_202, numRuns: 300 },
     );
   });
 
   it('takes all ranks over, and leaves the old map where one refuses', () => {
-    const bench = new Bench();
-    bench.input(0, { type: 'gained', token: 1 });
-    bench.settle(0);
-    bench.input(0, { type: 'propose' });
-    bench.settle(0);
-    Array.from({ length: 80 }, () => bench.group.run(LOAD));
-    assert.deepEqual(bench.group.versions, [2, 2, 2]);
-    bench.group.order(1, { kind: 'query', token: 9 });
-    bench.input(0, { type: 'propose' });
-    assert.throws(() => bench.settle(0));
-    assert.deepEqual(bench.group.versions, [2, 2, 2]);
+    const simulation = new Simulation();
+    simulation.input(0, { type: 'gained', token: 1 });
+    simulation.runUntilReady(0);
+    simulation.input(0, { type: 'propose' });
+    simulation.runUntilReady(0);
+    Array.from({ length: 80 }, () => simulation.group.runStep(LOAD));
+    assert.deepEqual(simulation.group.versions, [2, 2, 2]);
+    simulation.group.applyOrder(1, { kind: 'query', token: 9 });
+    simulation.input(0, { type: 'propose' });
+    assert.throws(() => simulation.runUntilReady(0));
+    assert.deepEqual(simulation.group.versions, [2, 2, 2]);
   });
 });
 
@@ -149,10 +149,10 @@
   // The gate restarted and forgot the highest token. An order of a coordinator replaced long ago
   // arrives first; it must wait until a quorum has said which token is the highest, and then fail.
   it('passes nothing before it has learned the token', () => {
-    const asked = checkOrder(INITIAL_ORDER_GATE, 3);
-    assert.equal(asked.verdict, 'wait');
-    assert.equal(checkOrder(raiseHighestToken(asked.state, 5), 3).verdict, 'stale');
-    assert.equal(checkOrder(raiseHighestToken(asked.state, 5), 5).verdict, 'pass');
+    const first = checkOrder(INITIAL_ORDER_GATE, 3);
+    assert.equal(first.verdict, 'wait');
+    assert.equal(checkOrder(raiseHighestToken(first.state, 5), 3).verdict, 'stale');
+    assert.equal(checkOrder(raiseHighestToken(first.state, 5), 5).verdict, 'pass');
   });
 
   // The engine ignores tokens, and an old order is still on its way to it. A newer one sent now
--- a/fakes/__tests__/unit/MapSwitch.test.ts
+++ b/fakes/__tests__/unit/MapSwitch.test.ts
@@ -18,7 +18,7 @@
 const TICK_MS = 40;
 
 interface Coordinator {
-  readonly own: number;
+  readonly index: number;
   state: MapSwitchState;
 }
 
@@ -44,156 +44,159 @@
   | {
       readonly kind: 'round';
       readonly who: number;
-      readonly heard: number;
-      readonly answered: number;
+      readonly reportedMask: number;
+      readonly answeredMask: number;
     };
 
 /** A group, two coordinators of which the newer fences the older, and orders on their way. */
-class World {
+class Simulation {
   readonly group = new FakeLockstep(RANKS);
 
   readonly #coordinators: readonly [Coordinator, Coordinator] = [
-    { own: 0, state: initMapSwitch(RANKS, 0) },
-    { own: 1, state: initMapSwitch(RANKS, 1) },
+    { index: 0, state: initMapSwitch(RANKS, 0) },
+    { index: 1, state: initMapSwitch(RANKS, 1) },
   ];
 
   /** Highest token that each rank's process has heard. */
-  readonly #fences = [0, 0, 0];
+  readonly #highestTokens = [0, 0, 0];
 
-  #open: Order[] = [];
+  #pendingOrders: Order[] = [];
 
   /** Orders that got no answer and may still be carried out. */
-  #late: Order[] = [];
+  #lateOrders: Order[] = [];
 
   #token = 0;
 
   #now = 0;
 
-  #maps = 0;
+  #proposedMaps = 0;
 
   changed = 0;
 
   constructor() {
-    this.#gain(0);
+    this.#grantLease(0);
   }
 
-  run(event: Event): void {
+  applyEvent(event: Event): void {
     this.#now += TICK_MS;
     const handlers: { readonly [K in Event['kind']]: (item: Extract<Event, { kind: K }>) => void } =
       {
-        pass: () => this.group.pass(),
-        report: ({ who, rank }) => this.#report(this.#pick(who), rank % RANKS),
+        pass: () => this.group.runPass(),
+        report: ({ who, rank }) => this.#deliverReport(this.#coordinatorAt(who), rank % RANKS),
         deliver: ({ at, answered }) => this.#deliver(at, answered),
-        late: ({ at }) => this.#carryOutLate(at),
-        propose: ({ who }) => this.#propose(this.#pick(who)),
-        replace: () => this.#gain(this.#token % 2),
-        regain: () => this.#regain(),
-        reform: () => this.group.reform(),
-        tick: ({ who }) => this.#input(this.#pick(who), { type: 'tick' }),
+        late: ({ at }) => this.#executeLateOrder(at),
+        propose: ({ who }) => this.#propose(this.#coordinatorAt(who)),
+        replace: () => this.#grantLease(this.#token % 2),
+        regain: () => this.#regrantLease(),
+        reform: () => this.group.restart(),
+        tick: ({ who }) => this.#input(this.#coordinatorAt(who), { type: 'tick' }),
         round: (round) => this.#round(round),
       };
     (handlers[event.kind] as (item: Event) => void)(event);
   }
 
   /** Lets the newest coordinator work without faults for a while. */
-  settle(): void {
-    const newest = this.#pick(this.#token - 1);
+  runWithoutFaults(): void {
+    const newest = this.#coordinatorAt(this.#token - 1);
     for (let round = 0; round < 60; round += 1) {
       this.#now += 150;
-      this.#late = [];
+      this.#lateOrders = [];
       for (let rank = 0; rank < RANKS; rank += 1) {
-        this.#report(newest, rank);
+        this.#deliverReport(newest, rank);
       }
       this.#input(newest, { type: 'tick' });
-      while (this.#open.length > 0) {
+      while (this.#pendingOrders.length > 0) {
         this.#deliver(0, true);
       }
-      this.group.pass();
+      this.group.runPass();
       if (round === 20) {
         this.#propose(newest);
       }
     }
   }
 
-  #round({ who, heard, answered }: Extract<Event, { kind: 'round' }>): void {
-    const coordinator = this.#pick(who);
+  #round({ who, reportedMask, answeredMask }: Extract<Event, { kind: 'round' }>): void {
+    const coordinator = this.#coordinatorAt(who);
     this.#now += 150;
     for (let rank = 0; rank < RANKS; rank += 1) {
-      if (Math.floor(heard / 2 ** rank) % 2 === 1) {
-        this.#report(coordinator, rank);
+      if (Math.floor(reportedMask / 2 ** rank) % 2 === 1) {
+        this.#deliverReport(coordinator, rank);
       }
     }
     this.#input(coordinator, { type: 'tick' });
-    const mine = this.#open.filter(({ from }) => from === coordinator);
-    mine.forEach((order, i) => {
-      this.#deliver(this.#open.indexOf(order), Math.floor(answered / 2 ** i) % 2 === 1);
+    const ownOrders = this.#pendingOrders.filter(({ from }) => from === coordinator);
+    ownOrders.forEach((order, i) => {
+      this.#deliver(
+        this.#pendingOrders.indexOf(order),
+        Math.floor(answeredMask / 2 ** i) % 2 === 1,
+      );
     });
   }
 
-  #pick(who: number): Coordinator {
+  #coordinatorAt(who: number): Coordinator {
     return this.#coordinators[who % 2 === 0 ? 0 : 1];
   }
 
-  #regain(): void {
-    const newest = this.#pick(this.#token - 1);
+  #regrantLease(): void {
+    const newest = this.#coordinatorAt(this.#token - 1);
     this.#input(newest, { type: 'lost' });
-    this.#take(newest);
+    this.#startLease(newest);
   }
 
-  #gain(who: number): void {
+  #grantLease(who: number): void {
     this.#token += 1;
-    this.#take(this.#pick(who));
+    this.#startLease(this.#coordinatorAt(who));
   }
 
-  #take(coordinator: Coordinator): void {
+  #startLease(coordinator: Coordinator): void {
     this.#input(coordinator, { type: 'gained', token: this.#token });
     this.#input(coordinator, { type: 'mapInUse', map: this.group.map });
   }
 
   #propose(coordinator: Coordinator): void {
-    this.#maps += 1;
-    const map: GroupMap = [[[this.#maps], [this.#maps], [this.#maps]]];
+    this.#proposedMaps += 1;
+    const map: GroupMap = [[[this.#proposedMaps], [this.#proposedMaps], [this.#proposedMaps]]];
     this.#input(coordinator, { type: 'propose', map });
   }
 
   #isFenced(coordinator: Coordinator, rank: number): boolean {
     const { token } = coordinator.state;
-    const fence = Math.max(this.#fences[rank] ?? 0, token);
-    this.#fences[rank] = fence;
-    return token < fence;
+    const highestToken = Math.max(this.#highestTokens[rank] ?? 0, token);
+    this.#highestTokens[rank] = highestToken;
+    return token < highestToken;
   }
 
-  #report(coordinator: Coordinator, rank: number): void {
+  #deliverReport(coordinator: Coordinator, rank: number): void {
     if (!this.#isFenced(coordinator, rank)) {
       this.#input(coordinator, { type: 'report', rank, report: this.group.report(rank) });
     }
   }
 
   #deliver(at: number, answered: boolean): void {
-    const order = this.#open[at % Math.max(1, this.#open.length)];
+    const order = this.#pendingOrders[at % Math.max(1, this.#pendingOrders.length)];
     if (order === undefined) {
       return;
     }
-    this.#open = this.#open.filter((other) => other !== order);
+    this.#pendingOrders = this.#pendingOrders.filter((other) => other !== order);
     const { from, rank } = order;
     if (this.#isFenced(from, rank)) {
       return;
     }
     if (!answered) {
-      this.#late.push(order);
+      this.#lateOrders.push(order);
       this.#input(from, { type: 'answer', rank, result: 'unknown' });
       return;
     }
-    const taken = this.group.take(rank, order.order);
-    this.#input(from, { type: 'answer', rank, result: taken ? 'accepted' : 'refused' });
-    this.#report(from, rank);
+    const accepted = this.group.applyOrder(rank, order.order);
+    this.#input(from, { type: 'answer', rank, result: accepted ? 'accepted' : 'refused' });
+    this.#deliverReport(from, rank);
   }
 
-  #carryOutLate(at: number): void {
-    const order = this.#late[at % Math.max(1, this.#late.length)];
+  #executeLateOrder(at: number): void {
+    const order = this.#lateOrders[at % Math.max(1, this.#lateOrders.length)];
     if (order !== undefined) {
-      this.#late = this.#late.filter((other) => other !== order);
-      this.group.take(order.rank, order.order);
+      this.#lateOrders = this.#lateOrders.filter((other) => other !== order);
+      this.group.applyOrder(order.rank, order.order);
     }
   }
 
@@ -201,12 +204,12 @@
     const { state, outputs } = stepMapSwitch(coordinator.state, input, this.#now);
     // eslint-disable-next-line no-param-reassign
     coordinator.state = state;
-    outputs.forEach((output) => this.#perform(coordinator, output));
+    outputs.forEach((output) => this.#handleOutput(coordinator, output));
   }
 
-  #perform(from: Coordinator, output: MapSwitchOutput): void {
+  #handleOutput(from: Coordinator, output: MapSwitchOutput): void {
     if (output.type === 'order') {
-      this.#open.push({ from, rank: output.rank, order: output.order });
+      this.#pendingOrders.push({ from, rank: output.rank, order: output.order });
     } else if (output.type === 'changed') {
       this.changed += 1;
     } else if (output.type === 'reset') {
@@ -215,13 +218,13 @@
   }
 }
 
-const number = fc.nat({ max: 11 });
+const smallNumber = fc.nat({ max: 11 });
 
 const ROUND: fc.Arbitrary<Event> = fc.record({
   kind: fc.constant('round' as const),
-  who: number,
-  heard: fc.constantFrom(7, 7, 7, 6, 5, 3),
-  answered: fc.nat({ max: 63 }),
+  who: smallNumber,
+  reportedMask: fc.constantFrom(7, 7, 7, 6, 5, 3),
+  answeredMask: fc.nat({ max: 63 }),
 });
 
 const EVENT: fc.Arbitrary<Event> = fc.oneof(
@@ -229,19 +232,23 @@
   { weight: 6, arbitrary: fc.constant<Event>({ kind: 'pass' }) },
   {
     weight: 12,
-    arbitrary: fc.record({ kind: fc.constant('report' as const), who: number, rank: number }),
+    arbitrary: fc.record({
+      kind: fc.constant('report' as const),
+      who: smallNumber,
+      rank: smallNumber,
+    }),
   },
   {
     weight: 14,
     arbitrary: fc.record({
       kind: fc.constant('deliver' as const),
-      at: number,
+      at: smallNumber,
       answered: fc.boolean(),
     }),
   },
-  { weight: 8, arbitrary: fc.record({ kind: fc.constant('late' as const), at: number }) },
-  { weight: 8, arbitrary: fc.record({ kind: fc.constant('propose' as const), who: number }) },
-  { weight: 6, arbitrary: fc.record({ kind: fc.constant('tick' as const), who: number }) },
+  { weight: 8, arbitrary: fc.record({ kind: fc.constant('late' as const), at: smallNumber }) },
+  { weight: 8, arbitrary: fc.record({ kind: fc.constant('propose' as const), who: smallNumber }) },
+  { weight: 6, arbitrary: fc.record({ kind: fc.constant('tick' as const), who: smallNumber }) },
   { weight: 3, arbitrary: fc.constant<Event>({ kind: 'replace' }) },
   { weight: 3, arbitrary: fc.constant<Event>({ kind: 'regain' }) },
   { weight: 1, arbitrary: fc.constant<Event>({ kind: 'reform' }) },
@@ -252,12 +259,12 @@
   // Streams grow slow, since demand has shifted and the map doesn't follow: ranks refuse to prepare a
   // version that isn't higher than all they have had, and the versions began anew.
   it('goes on changing maps under a lease that it gains again', () => {
-    const world = new World();
-    world.settle();
-    const { changed } = world;
-    world.run({ kind: 'regain' });
-    world.settle();
-    assert.equal(world.changed, changed + 1);
+    const simulation = new Simulation();
+    simulation.runWithoutFaults();
+    const { changed } = simulation;
+    simulation.applyEvent({ kind: 'regain' });
+    simulation.runWithoutFaults();
+    assert.equal(simulation.changed, changed + 1);
   });
 
   // A coordinator believes in another map than a rank holds, so that the rank would have to copy more than
@@ -326,9 +333,9 @@
   it('never lets a pass begin with two maps', () => {
     fc.assert(
       fc.property(fc.array(EVENT, { minLength: 30, maxLength: 400 }), (events) => {
-        const world = new World();
-        events.forEach((event) => world.run(event));
-        assert.equal(world.group.mixed, 0);
+        const simulation = new Simulation();
+        events.forEach((event) => simulation.applyEvent(event));
+        assert.equal(simulation.group.mixedPasses, 0);
       }),
       { seed: 20_261, numRuns: 6_000 },
     );
@@ -339,15 +346,15 @@
   it('gets a change through once the faults are over', () => {
     fc.assert(
       fc.property(fc.array(EVENT, { minLength: 10, maxLength: 200 }), (events) => {
-        const world = new World();
-        events.forEach((event) => world.run(event));
-        const { step } = world.group;
-        const { changed } = world;
-        world.settle();
-        assert.ok(world.group.step > step, 'the group stands still');
-        assert.ok(world.changed > changed, 'no change went through');
-        assert.equal(new Set(world.group.versions).size, 1);
-        assert.equal(world.group.mixed, 0);
+        const simulation = new Simulation();
+        events.forEach((event) => simulation.applyEvent(event));
+        const { step } = simulation.group;
+        const { changed } = simulation;
+        simulation.runWithoutFaults();
+        assert.ok(simulation.group.step > step, 'the group stands still');
+        assert.ok(simulation.changed > changed, 'no change went through');
+        assert.equal(new Set(simulation.group.versions).size, 1);
+        assert.equal(simulation.group.mixedPasses, 0);
       }),
       { seed: 20_262, numRuns: 500 },
     );
--- a/fuzz/FuzzCaller.ts
+++ b/fuzz/FuzzCaller.ts
@@ -5,7 +5,7 @@
 import {
   isInformational,
   readConnection,
-  valuesOf,
+  headerValues,
   type ConnectionEnd,
   type ReadConnection,
 } from './FuzzReader.js';
@@ -13,7 +13,7 @@
 import type { FuzzRequest, FuzzWrite } from './FuzzTypes.js';
 
 /** A request with its id, as its caller sends it. */
-export interface FuzzAsked {
+export interface FuzzCallerRequest {
   readonly id: string;
   readonly method: string;
   readonly path: string;
@@ -22,12 +22,12 @@
 }
 
 /** One connection of the caller, once it is over. */
-export interface FuzzHeard {
-  readonly asked: readonly FuzzAsked[];
+export interface FuzzTranscript {
+  readonly requests: readonly FuzzCallerRequest[];
   readonly bytes: Buffer;
   readonly end: ConnectionEnd;
   /** Whether the caller gave up waiting on an open connection. */
-  readonly isStuck: boolean;
+  readonly hasTimedOut: boolean;
 }
 
 export const FUZZ_HOST = 'fuzz.example';
@@ -36,13 +36,13 @@
 const DEADLINE_MS = 250;
 
 /** An answer that is this late never comes, ms: far over any deadline, also on a busy machine. */
-const STUCK_MS = 6_000;
+const ANSWER_TIMEOUT_MS = 6_000;
 
 /** What comes after the last answer comes within this time, ms. */
 const LINGER_MS = 4;
 
 /** The request of a plan; `id` names it. */
-export function askOf(plan: FuzzRequest, id: string): FuzzAsked {
+export function callerRequestOf(plan: FuzzRequest, id: string): FuzzCallerRequest {
   const body = `body of ${id} `.repeat(plan.size).slice(0, plan.size);
   return { id, method: plan.size === 0 ? 'GET' : 'POST', path: `/${plan.route}/${id}`, body, plan };
 }
@@ -58,7 +58,7 @@
   return chunks.map((part) => `${part.length.toString(16)}\r\n${part}\r\n`).join('');
 }
 
-function writesOf({ id, method, path, body, plan }: FuzzAsked): readonly FuzzWrite[] {
+function writesOf({ id, method, path, body, plan }: FuzzCallerRequest): readonly FuzzWrite[] {
   const { lastEvent, isChunked, splits, pauseMs } = plan;
   const hasBody = body !== '';
   const lines = [
@@ -77,7 +77,7 @@
 
 /** One connection under way. */
 class CallerConnection {
-  readonly asked: FuzzAsked[] = [];
+  readonly requests: FuzzCallerRequest[] = [];
 
   readonly #socket: Socket;
 
@@ -85,40 +85,45 @@
 
   #end: ConnectionEnd = 'open';
 
-  #isStuck = false;
+  #hasTimedOut = false;
 
   /** Called with each change. */
-  #onNews: (() => void) | null = null;
+  #onUpdate: (() => void) | null = null;
 
   constructor(port: number) {
     this.#socket = connect({ host: '127.0.0.1', port, noDelay: true });
     this.#socket.on('data', (chunk) => {
       this.#chunks.push(chunk);
-      this.#onNews?.();
+      this.#onUpdate?.();
     });
     this.#socket.once('end', () => this.#close('fin'));
     this.#socket.once('error', () => this.#close('reset'));
     this.#socket.once('close', () => this.#close('reset'));
   }
 
-  get heard(): FuzzHeard {
-    const { asked } = this;
-    return { asked, bytes: Buffer.concat(this.#chunks), end: this.#end, isStuck: this.#isStuck };
+  get transcript(): FuzzTranscript {
+    const { requests } = this;
+    return {
+      requests,
+      bytes: Buffer.concat(this.#chunks),
+      end: this.#end,
+      hasTimedOut: this.#hasTimedOut,
+    };
   }
 
   /** Whether another request may be sent on it. */
   get isOpen(): boolean {
     const { answers, fault } = this.#read();
-    const saysClose = answers.some((answer) =>
-      valuesOf(answer, 'connection').some((value) => value.toLowerCase() === 'close'),
+    const hasConnectionClose = answers.some((answer) =>
+      headerValues(answer, 'connection').some((value) => value.toLowerCase() === 'close'),
     );
-    return this.#end === 'open' && !this.#isStuck && fault === null && !saysClose;
+    return this.#end === 'open' && !this.#hasTimedOut && fault === null && !hasConnectionClose;
   }
 
-  async send(asked: FuzzAsked): Promise<void> {
-    this.asked.push(asked);
+  async send(request: FuzzCallerRequest): Promise<void> {
+    this.requests.push(request);
     // eslint-disable-next-line no-restricted-syntax -- one write after the other
-    for (const { bytes, pauseMs } of writesOf(asked)) {
+    for (const { bytes, pauseMs } of writesOf(request)) {
       if (pauseMs > 0) {
         // eslint-disable-next-line no-await-in-loop
         await delay(pauseMs);
@@ -130,24 +135,24 @@
   }
 
   /** Resolves once all that was asked is answered, or no more can come. */
-  async answered(): Promise<void> {
+  async waitForAnswers(): Promise<void> {
     const isOver = (): boolean => {
       const { answers, fault } = this.#read();
-      const whole = answers.filter((answer) => answer.isWhole && !isInformational(answer));
-      return this.#end !== 'open' || fault !== null || whole.length >= this.asked.length;
+      const complete = answers.filter((answer) => answer.isComplete && !isInformational(answer));
+      return this.#end !== 'open' || fault !== null || complete.length >= this.requests.length;
     };
     await new Promise<void>((resolve) => {
       const timer = setTimeout(() => {
-        this.#isStuck = true;
+        this.#hasTimedOut = true;
         resolve();
-      }, STUCK_MS);
-      this.#onNews = () => {
+      }, ANSWER_TIMEOUT_MS);
+      this.#onUpdate = () => {
         if (isOver()) {
           clearTimeout(timer);
           resolve();
         }
       };
-      this.#onNews?.();
+      this.#onUpdate?.();
     });
   }
 
@@ -163,15 +168,15 @@
     if (this.#end === 'open') {
       this.#end = end;
     }
-    this.#onNews?.();
+    this.#onUpdate?.();
   }
 }
 
 /** Sends requests one after the other, pipelined ones at once, and gives what came on each connection. */
-export async function playCaller(
+export async function runCaller(
   port: number,
-  requests: readonly FuzzAsked[],
-): Promise<readonly FuzzHeard[]> {
+  requests: readonly FuzzCallerRequest[],
+): Promise<readonly FuzzTranscript[]> {
   const connections: CallerConnection[] = [];
   const open = (): CallerConnection => {
     const connection = new CallerConnection(port);
@@ -180,20 +185,20 @@
   };
   let current = open();
   // eslint-disable-next-line no-restricted-syntax -- one request after the other
-  for (const [i, asked] of requests.entries()) {
-    if (!asked.plan.isPipelined && !current.isOpen) {
+  for (const [i, request] of requests.entries()) {
+    if (!request.plan.isPipelined && !current.isOpen) {
       current.close();
       current = open();
     }
     // eslint-disable-next-line no-await-in-loop
-    await current.send(asked);
+    await current.send(request);
     if (requests[i + 1]?.plan.isPipelined !== true) {
       // eslint-disable-next-line no-await-in-loop
-      await current.answered();
+      await current.waitForAnswers();
     }
   }
   await delay(LINGER_MS);
-  const heard = connections.map((connection) => connection.heard);
+  const transcripts = connections.map((connection) => connection.transcript);
   connections.forEach((connection) => connection.close());
-  return heard;
+  return transcripts;
 }
--- a/fuzz/FuzzConnection.ts
+++ b/fuzz/FuzzConnection.ts
@@ -5,13 +5,13 @@
 import type { RenderedAnswer } from './FuzzRender.js';
 
 /** What an endpoint has sent on one connection. */
-export interface FuzzSent {
+export interface FuzzSentData {
   readonly bytes: Buffer;
   readonly end: ConnectionEnd;
 }
 
 /** One connection; it keeps what was written. */
-export class EndpointConnection implements FuzzSent {
+export class EndpointConnection implements FuzzSentData {
   readonly #socket: Socket;
 
   readonly #written: Buffer[] = [];
@@ -38,7 +38,7 @@
   }
 
   /** Writes an answer in its pieces. */
-  async play({ writes, end }: RenderedAnswer): Promise<void> {
+  async writeAnswer({ writes, end }: RenderedAnswer): Promise<void> {
     // eslint-disable-next-line no-restricted-syntax -- one write after the other
     for (const { bytes, pauseMs } of writes) {
       if (pauseMs > 0) {
--- a/fuzz/FuzzEndpoint.ts
+++ b/fuzz/FuzzEndpoint.ts
@@ -1,7 +1,7 @@
 /** Raw TCP endpoints that answer by script and write down what they sent. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
-import { EndpointConnection, type FuzzSent } from './FuzzConnection.js';
+import { EndpointConnection, type FuzzSentData } from './FuzzConnection.js';
 import { renderAnswer, type RenderedAnswer } from './FuzzRender.js';
 import type { FuzzAnswer } from './FuzzTypes.js';
 
@@ -14,25 +14,25 @@
   readonly lastEvent: string | null;
   /** Whether the endpoint begins to run it. */
   readonly runs: boolean;
-  readonly connection: FuzzSent;
+  readonly connection: FuzzSentData;
 }
 
 /** The answer to an arrival; `nth` counts those of one id from 0. */
 export type ChooseAnswer = (id: string, nth: number) => FuzzAnswer;
 
-interface ArrivedRequest {
+interface ParsedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
   /** Bytes that it takes. */
-  readonly length: number;
+  readonly byteLength: number;
 }
 
 const HEAD_END = '\r\n\r\n';
 
 /** A whole request at the begin of some bytes; null where more are due. */
-function readRequest(text: string): ArrivedRequest | null {
+function parseRequest(text: string): ParsedRequest | null {
   const headEnd = text.indexOf(HEAD_END);
   if (headEnd < 0) {
     return null;
@@ -49,7 +49,7 @@
   const length = from + Number(headers.get('content-length') ?? 0);
   return text.length < length
     ? null
-    : { method, path, headers, body: text.slice(from, length), length };
+    : { method, path, headers, body: text.slice(from, length), byteLength: length };
 }
 
 /** The endpoints of one case; arrivals at all of them stand in one list, in order. */
@@ -83,33 +83,33 @@
 
   #onConnection(socket: Socket): void {
     const connection = new EndpointConnection(socket);
-    let rest = '';
-    let pending = Buffer.alloc(0);
-    let earlierId = '';
+    let unparsed = '';
+    let deferredBytes = Buffer.alloc(0);
+    let previousId = '';
     this.#sockets.add(socket);
     socket.once('close', () => this.#sockets.delete(socket));
     // What ends a connection is the matter of the case.
     socket.on('error', () => undefined);
     socket.on('data', (chunk) => {
-      rest += chunk.toString('latin1');
-      const req = readRequest(rest);
+      unparsed += chunk.toString('latin1');
+      const req = parseRequest(unparsed);
       if (req === null) {
         return;
       }
-      rest = rest.slice(req.length);
-      connection.write(pending);
-      const { rendered, id } = this.#take(req, connection, earlierId);
-      pending = Buffer.from(rendered.onNext);
-      earlierId = id;
-      connection.play(rendered).catch(() => socket.destroy());
+      unparsed = unparsed.slice(req.byteLength);
+      connection.write(deferredBytes);
+      const { rendered, id } = this.#recordArrival(req, connection, previousId);
+      deferredBytes = Buffer.from(rendered.onNext);
+      previousId = id;
+      connection.writeAnswer(rendered).catch(() => socket.destroy());
     });
   }
 
   /** Writes an arrival down, and renders its answer. */
-  #take(
-    req: ArrivedRequest,
-    connection: FuzzSent,
-    earlierId: string,
+  #recordArrival(
+    req: ParsedRequest,
+    connection: FuzzSentData,
+    previousId: string,
   ): { readonly rendered: RenderedAnswer; readonly id: string } {
     const id = req.headers.get(WIRE_NAMES.id.toLowerCase()) ?? '';
     const lastEvent = req.headers.get('last-event-id') ?? null;
@@ -119,7 +119,7 @@
     this.arrivals.push({ id, method, path, body, lastEvent, runs, connection });
     const ctx = {
       id,
-      earlierId,
+      previousId,
       seal: `seal.${this.arrivals.length}`,
       lastEvent: Number(lastEvent ?? 0) || 0,
     };
--- a/fuzz/FuzzEntry.ts
+++ b/fuzz/FuzzEntry.ts
@@ -47,7 +47,7 @@
 /** Retries are never refused for want of budget: a case has a few requests only. */
 const RETRIES = { ratio: 1, extra: 100, windowMs: 1_000 };
 
-function recordOf(port: number, i: number): MemberRecord {
+function memberRecordOf(port: number, i: number): MemberRecord {
   return {
     id: `e${i}`,
     role: 'endpoint',
@@ -77,7 +77,7 @@
 export interface FuzzEntry {
   readonly port: number;
   /** Lines that it has logged of its own faults. */
-  readonly faults: readonly string[];
+  readonly errorLines: readonly string[];
   close: () => void;
 }
 
@@ -100,14 +100,14 @@
   const runtime = runtimeOf(seed, faults);
   const entry = new DirectEntry(cfg, dialects, runtime, stop.signal);
   const { state } = entry;
-  const records = ports.map(recordOf);
+  const records = ports.map(memberRecordOf);
   state.onConfig(CONFIG);
   state.onNewest(CONFIG.index, runtime.clocks());
   state.onDirectory({ full: true, records });
   const server = await entry.serve(stop.signal);
   return {
     port: (server.address() as AddressInfo).port,
-    faults,
+    errorLines: faults,
     close: () => {
       stop.abort();
       server.close();
--- a/fuzz/FuzzHead.ts
+++ b/fuzz/FuzzHead.ts
@@ -11,7 +11,7 @@
 
 /** A head; `before` are interim answers in front of it. */
 export interface AnswerHeadText {
-  readonly before: string;
+  readonly interimText: string;
   readonly protocol: string;
   readonly status: number;
   readonly lines: readonly HeadLine[];
@@ -64,8 +64,8 @@
   return (head) => ({ ...head, status });
 }
 
-function putBefore(before: string): Change {
-  return (head) => ({ ...head, before });
+function setInterimText(interimText: string): Change {
+  return (head) => ({ ...head, interimText });
 }
 
 function chain(...changes: readonly Change[]): Change {
@@ -110,8 +110,8 @@
   statusUnavailable: setStatus(503),
   statusError: setStatus(500),
   statusHigh: setStatus(600),
-  interim: putBefore(INTERIM),
-  interimTwice: putBefore(`HTTP/1.1 100 Continue\r\n\r\n${INTERIM}`),
+  interim: setInterimText(INTERIM),
+  interimTwice: setInterimText(`HTTP/1.1 100 Continue\r\n\r\n${INTERIM}`),
   switching: setStatus(101),
   olderProtocol: (head) => ({ ...head, protocol: 'HTTP/1.0' }),
   plainType: setValue('Content-Type', () => 'text/plain'),
--- a/fuzz/FuzzMain.ts
+++ b/fuzz/FuzzMain.ts
@@ -1,8 +1,8 @@
 /** `npm run fuzz -- --seed 1 --cases 1000`: plays cases; prints each that fails, and the run, as one JSON line each. */
 import { Command, Option, runExit } from 'clipanion';
-import { playFuzz } from './FuzzRun.js';
+import { runFuzz } from './FuzzRun.js';
 
-function whole(text: string, name: string): number {
+function parsePositiveInteger(text: string, name: string): number {
   const value = Number(text);
   if (!Number.isSafeInteger(value) || value <= 0) {
     throw new Error(`${name}: "${text}" is not a whole number above 0`);
@@ -26,11 +26,11 @@
   failures = Option.String('--failures', '5', { description: 'failed cases that end the run' });
 
   override async execute(): Promise<number> {
-    const result = await playFuzz({
-      seed: whole(this.seed, '--seed'),
-      cases: whole(this.cases, '--cases'),
-      jobs: whole(this.jobs, '--jobs'),
-      mostFailures: whole(this.failures, '--failures'),
+    const result = await runFuzz({
+      seed: parsePositiveInteger(this.seed, '--seed'),
+      cases: parsePositiveInteger(this.cases, '--cases'),
+      jobs: parsePositiveInteger(this.jobs, '--jobs'),
+      maxFailures: parsePositiveInteger(this.failures, '--failures'),
     });
     const { failures, ...figures } = result;
     failures.forEach((failure) => this.context.stdout.write(`${JSON.stringify(failure)}\n`));
--- a/fuzz/FuzzPlan.ts
+++ b/fuzz/FuzzPlan.ts
@@ -57,130 +57,132 @@
 ];
 
 /** Bytes that mean something to a parser of HTTP. */
-const TELLING_BYTES = [0, 9, 10, 13, 32, 44, 48, 58, 59, 127, 255];
+const SIGNIFICANT_BYTES = [0, 9, 10, 13, 32, 44, 48, 58, 59, 127, 255];
 
 /** Events of a stream and bytes of a body at most: enough for several writes. */
-const MOST_EVENTS = 5;
-const MOST_BODY_BYTES = 60;
+const MAX_EVENTS = 5;
+const MAX_BODY_BYTES = 60;
 
-const MOST_PAUSE_MS = 3;
+const MAX_PAUSE_MS = 3;
 
-const MOST_REQUESTS = 4;
+const MAX_REQUESTS = 4;
 
 /** Numbers of one case. */
-class FuzzDraw {
+class FuzzRandom {
   readonly #rng;
 
   constructor(seed: number) {
     this.#rng = xoroshiro128plus(seed);
   }
 
-  share(): number {
+  nextFraction(): number {
     return uniformFloat64(this.#rng);
   }
 
-  /** A whole number from 0 up to and without `below`. */
-  below(below: number): number {
-    return Math.floor(this.share() * below);
+  /** A whole number from 0 below `limit`. */
+  nextInteger(limit: number): number {
+    return Math.floor(this.nextFraction() * limit);
   }
 
-  chance(share: number): boolean {
-    return this.share() < share;
+  chance(probability: number): boolean {
+    return this.nextFraction() < probability;
   }
 
-  of<T>(items: readonly T[]): T {
-    return items[this.below(items.length)] as T;
+  pick<T>(items: readonly T[]): T {
+    return items[this.nextInteger(items.length)] as T;
   }
 
-  list<T>(most: number, draw: () => T): readonly T[] {
-    return Array.from({ length: this.below(most + 1) }, draw);
+  listOf<T>(maxLength: number, draw: () => T): readonly T[] {
+    return Array.from({ length: this.nextInteger(maxLength + 1) }, draw);
   }
 }
 
-function drawEdit(draw: FuzzDraw): FuzzEdit {
-  const kind = draw.of(['flip', 'insert', 'double', 'drop'] as const);
-  const region = draw.of(['status', 'name', 'value', 'size', 'event', 'body'] as const);
+function drawEdit(random: FuzzRandom): FuzzEdit {
+  const kind = random.pick(['flip', 'insert', 'double', 'drop'] as const);
+  const region = random.pick(['status', 'name', 'value', 'size', 'event', 'body'] as const);
   const values = {
-    flip: 2 ** draw.below(8),
-    insert: draw.chance(0.7) ? draw.of(TELLING_BYTES) : draw.below(256),
-    double: 1 + draw.below(6),
-    drop: 1 + draw.below(6),
+    flip: 2 ** random.nextInteger(8),
+    insert: random.chance(0.7) ? random.pick(SIGNIFICANT_BYTES) : random.nextInteger(256),
+    double: 1 + random.nextInteger(6),
+    drop: 1 + random.nextInteger(6),
   };
-  return { kind, region, at: draw.share(), value: values[kind] };
+  return { kind, region, at: random.nextFraction(), value: values[kind] };
 }
 
-function drawCut(draw: FuzzDraw): FuzzCut {
-  const by = draw.chance(0.1) ? 'stall' : draw.of(['fin', 'reset'] as const);
-  return { at: draw.share(), by };
+function drawCut(random: FuzzRandom): FuzzCut {
+  const by = random.chance(0.1) ? 'stall' : random.pick(['fin', 'reset'] as const);
+  return { at: random.nextFraction(), by };
 }
 
-function drawExtra(draw: FuzzDraw): FuzzExtra {
+function drawExtra(random: FuzzRandom): FuzzExtra {
   return {
-    when: draw.of(['same', 'soon', 'next'] as const),
-    id: draw.of(['same', 'same', 'earlier', 'none'] as const),
-    kind: draw.of(['plain', 'stream', 'failure'] as const),
+    when: random.pick(['same', 'soon', 'next'] as const),
+    id: random.pick(['same', 'same', 'earlier', 'none'] as const),
+    kind: random.pick(['plain', 'stream', 'failure'] as const),
   };
 }
 
 /** What an endpoint does to its answer; most answers have one flaw, so that they get far. */
 function drawFlaws(
-  draw: FuzzDraw,
+  random: FuzzRandom,
 ): Pick<FuzzAnswer, 'head' | 'edits' | 'cut' | 'extras'> & { end: FuzzAnswer['end'] } {
   const none = { head: [], edits: [], cut: null, extras: [], end: 'keep' as const };
   const flaws: readonly (() => Partial<FuzzAnswer>)[] = [
-    () => ({ head: [draw.of(HEAD_CHANGES)] }),
-    () => ({ head: [draw.of(HEAD_CHANGES)] }),
-    () => ({ edits: [drawEdit(draw), ...draw.list(1, () => drawEdit(draw))] }),
-    () => ({ edits: [drawEdit(draw)] }),
-    () => ({ cut: drawCut(draw) }),
-    () => ({ extras: [drawExtra(draw)] }),
-    () => ({ end: draw.of(['fin', 'reset'] as const) }),
-    () => ({ head: [draw.of(HEAD_CHANGES)], cut: drawCut(draw) }),
-    () => ({ head: [draw.of(HEAD_CHANGES)], extras: [drawExtra(draw)] }),
+    () => ({ head: [random.pick(HEAD_CHANGES)] }),
+    () => ({ head: [random.pick(HEAD_CHANGES)] }),
+    () => ({ edits: [drawEdit(random), ...random.listOf(1, () => drawEdit(random))] }),
+    () => ({ edits: [drawEdit(random)] }),
+    () => ({ cut: drawCut(random) }),
+    () => ({ extras: [drawExtra(random)] }),
+    () => ({ end: random.pick(['fin', 'reset'] as const) }),
+    () => ({ head: [random.pick(HEAD_CHANGES)], cut: drawCut(random) }),
+    () => ({ head: [random.pick(HEAD_CHANGES)], extras: [drawExtra(random)] }),
   ];
-  return draw.chance(0.3) ? none : { ...none, ...draw.of(flaws)() };
+  return random.chance(0.3) ? none : { ...none, ...random.pick(flaws)() };
 }
 
-function drawKind(draw: FuzzDraw, route: FuzzRoute): FuzzAnswerKind {
-  if (draw.chance(0.75)) {
+function drawKind(random: FuzzRandom, route: FuzzRoute): FuzzAnswerKind {
+  if (random.chance(0.75)) {
     return STREAM_ROUTES.has(route) ? 'stream' : 'plain';
   }
-  return draw.of(['failure', 'refusal', 'refusal', 'drop', 'plain', 'stream'] as const);
+  return random.pick(['failure', 'refusal', 'refusal', 'drop', 'plain', 'stream'] as const);
 }
 
-function drawAnswer(draw: FuzzDraw, route: FuzzRoute): FuzzAnswer {
-  const kind = drawKind(draw, route);
+function drawAnswer(random: FuzzRandom, route: FuzzRoute): FuzzAnswer {
+  const kind = drawKind(random, route);
   return {
     kind,
-    framing: draw.of(['length', 'chunked', 'close'] as const),
-    size: draw.chance(0.1) ? 0 : 1 + draw.below(kind === 'stream' ? MOST_EVENTS : MOST_BODY_BYTES),
-    ...drawFlaws(draw),
-    splits: draw.list(3, () => draw.share()),
-    pauseMs: draw.below(MOST_PAUSE_MS + 1),
+    framing: random.pick(['length', 'chunked', 'close'] as const),
+    size: random.chance(0.1)
+      ? 0
+      : 1 + random.nextInteger(kind === 'stream' ? MAX_EVENTS : MAX_BODY_BYTES),
+    ...drawFlaws(random),
+    splits: random.listOf(3, () => random.nextFraction()),
+    pauseMs: random.nextInteger(MAX_PAUSE_MS + 1),
   };
 }
 
-function drawRequest(draw: FuzzDraw, isFirst: boolean): FuzzRequest {
-  const route = draw.of(ROUTES);
-  const first = drawAnswer(draw, route);
+function drawRequest(random: FuzzRandom, isFirst: boolean): FuzzRequest {
+  const route = random.pick(ROUTES);
+  const first = drawAnswer(random, route);
   return {
     route,
-    size: draw.chance(0.3) ? 0 : 1 + draw.below(MOST_BODY_BYTES),
-    isChunked: draw.chance(0.25),
-    splits: draw.chance(0.2) ? draw.list(3, () => draw.share()) : [],
-    pauseMs: draw.below(MOST_PAUSE_MS),
-    lastEvent: route === 'stream' && draw.chance(0.4) ? draw.below(MOST_EVENTS + 1) : null,
-    isPipelined: !isFirst && draw.chance(0.15),
-    answers: [first, ...draw.list(1, () => drawAnswer(draw, route))],
+    size: random.chance(0.3) ? 0 : 1 + random.nextInteger(MAX_BODY_BYTES),
+    isChunked: random.chance(0.25),
+    splits: random.chance(0.2) ? random.listOf(3, () => random.nextFraction()) : [],
+    pauseMs: random.nextInteger(MAX_PAUSE_MS),
+    lastEvent: route === 'stream' && random.chance(0.4) ? random.nextInteger(MAX_EVENTS + 1) : null,
+    isPipelined: !isFirst && random.chance(0.15),
+    answers: [first, ...random.listOf(1, () => drawAnswer(random, route))],
   };
 }
 
 /** The case of a seed. */
-export function planCase(seed: number): FuzzCase {
-  const draw = new FuzzDraw(seed);
-  const count = 1 + draw.below(MOST_REQUESTS);
+export function drawCase(seed: number): FuzzCase {
+  const random = new FuzzRandom(seed);
+  const count = 1 + random.nextInteger(MAX_REQUESTS);
   return {
-    endpoints: 1 + draw.below(2),
-    requests: Array.from({ length: count }, (_item, i) => drawRequest(draw, i === 0)),
+    endpoints: 1 + random.nextInteger(2),
+    requests: Array.from({ length: count }, (_item, i) => drawRequest(random, i === 0)),
   };
 }
--- a/fuzz/FuzzReader.ts
+++ b/fuzz/FuzzReader.ts
@@ -11,7 +11,7 @@
   readonly body: Buffer;
   readonly framing: AnswerFraming;
   /** Whether its framing says that nothing is missing. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** How the sender has ended its side of a connection. */
@@ -26,7 +26,7 @@
 }
 
 /** Part of a message that was read; `next` is null where more bytes are due. */
-interface Part<T> {
+interface Parsed<T> {
   readonly value: T;
   readonly next: number | null;
 }
@@ -51,21 +51,21 @@
 const STATUS_LINE = /^HTTP\/1\.[01] ([1-9]\d\d) [\t\x20-\x7e\x80-\xff]*$/;
 
 /** Nobody passes a reason on, so that any is taken from an endpoint. */
-const ANY_REASON = /^HTTP\/1\.[01] ([1-9]\d\d)(?: [^\r\n]*)?$/;
+const LENIENT_STATUS_LINE = /^HTTP\/1\.[01] ([1-9]\d\d)(?: [^\r\n]*)?$/;
 
-const BLANK = /[\r\n]*/y;
+const EMPTY_LINES = /[\r\n]*/y;
 
 const HEADER_LINE = /^([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([\t\x20-\x7e\x80-\xff]*?)[ \t]*$/;
 
 const CHUNK_LINE = /^([0-9A-Fa-f]{1,8})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?$/;
 
-const LENGTH = /^\d{1,15}$/;
+const CONTENT_LENGTH = /^\d{1,15}$/;
 
 /** Statuses without a body, whatever their headers say. */
-const BODILESS = new Set([204, 304]);
+const BODYLESS_STATUSES = new Set([204, 304]);
 
 /** The values of a header, in order. */
-export function valuesOf(
+export function headerValues(
   { headers }: Pick<ReadAnswer, 'headers'>,
   name: string,
 ): readonly string[] {
@@ -78,7 +78,7 @@
   return status < 200;
 }
 
-function readLine(text: string, at: number): Part<string> {
+function readLine(text: string, at: number): Parsed<string> {
   const end = text.indexOf(CRLF, at);
   const line = text.slice(at, end < 0 ? undefined : end);
   if (end < 0 && line.includes('\n')) {
@@ -96,7 +96,7 @@
 }
 
 /** Reads header lines up to the empty one. */
-function readHeaders(text: string, from: number): Part<Head['headers']> {
+function readHeaders(text: string, from: number): Parsed<Head['headers']> {
   const headers: (readonly [string, string])[] = [];
   let at = from;
   for (;;) {
@@ -109,7 +109,7 @@
   }
 }
 
-function readHead(text: string, at: number, statusLine: RegExp): Part<Head> {
+function readHead(text: string, at: number, statusLine: RegExp): Parsed<Head> {
   const start = text.slice(at, at + PROTOCOL.length);
   if (!PROTOCOL.startsWith(start)) {
     throw new AnswerSyntaxError(`no answer: ${JSON.stringify(start)}`);
@@ -128,8 +128,8 @@
 
 /** The framing that a head declares; `length` is 0 where it has none. */
 function framingOf(head: Head): { readonly framing: AnswerFraming; readonly length: number } {
-  const codings = valuesOf(head, 'transfer-encoding');
-  const lengths = valuesOf(head, 'content-length');
+  const codings = headerValues(head, 'transfer-encoding');
+  const lengths = headerValues(head, 'content-length');
   const [length = ''] = lengths;
   if (codings.length > 0 && lengths.length > 0) {
     throw new AnswerSyntaxError('a length and a transfer coding');
@@ -137,10 +137,10 @@
   if (codings.length > 0 && codings.join().toLowerCase() !== 'chunked') {
     throw new AnswerSyntaxError(`transfer coding ${JSON.stringify(codings.join())}`);
   }
-  if (lengths.length > 1 || (lengths.length === 1 && !LENGTH.test(length))) {
+  if (lengths.length > 1 || (lengths.length === 1 && !CONTENT_LENGTH.test(length))) {
     throw new AnswerSyntaxError(`length ${JSON.stringify(lengths.join())}`);
   }
-  if (isInformational(head) || BODILESS.has(head.status)) {
+  if (isInformational(head) || BODYLESS_STATUSES.has(head.status)) {
     return { framing: 'none', length: 0 };
   }
   if (codings.length > 0) {
@@ -181,7 +181,7 @@
 }
 
 /** A body; `next` is null where it isn't whole. */
-type ReadBody = (text: string, at: number, length: number, end: ConnectionEnd) => Part<string>;
+type ReadBody = (text: string, at: number, length: number, end: ConnectionEnd) => Parsed<string>;
 
 const BODY_READERS: Readonly<Record<Exclude<AnswerFraming, 'chunked'>, ReadBody>> = {
   none: (_text, at) => ({ value: '', next: at }),
@@ -196,9 +196,9 @@
 };
 
 /** Place of the next byte that isn't part of an empty line. */
-function skipBlank(text: string, at: number): number {
-  BLANK.lastIndex = at;
-  return at + (BLANK.exec(text)?.[0].length ?? 0);
+function skipEmptyLines(text: string, at: number): number {
+  EMPTY_LINES.lastIndex = at;
+  return at + (EMPTY_LINES.exec(text)?.[0].length ?? 0);
 }
 
 /** Reads all that the sender of a connection has sent, up to the first fault. */
@@ -213,22 +213,26 @@
   let at: number | null = 0;
   try {
     while (at !== null && at < text.length) {
-      const start: number = isStrict ? at : skipBlank(text, at);
-      const head: Part<Head> = readHead(text, start, isStrict ? STATUS_LINE : ANY_REASON);
+      const start: number = isStrict ? at : skipEmptyLines(text, at);
+      const head: Parsed<Head> = readHead(
+        text,
+        start,
+        isStrict ? STATUS_LINE : LENIENT_STATUS_LINE,
+      );
       if (head.next === null) {
         break;
       }
       const { framing, length } = framingOf(head.value);
       const parts: string[] = [];
-      const push = (isWhole: boolean): void => {
+      const push = (isComplete: boolean): void => {
         const body = Buffer.from(parts.join(''), 'latin1');
-        answers.push({ ...head.value, body, framing, isWhole });
+        answers.push({ ...head.value, body, framing, isComplete });
       };
       try {
         if (framing === 'chunked') {
           at = readChunks(text, head.next, parts);
         } else {
-          const body: Part<string> = BODY_READERS[framing](text, head.next, length, end);
+          const body: Parsed<string> = BODY_READERS[framing](text, head.next, length, end);
           parts.push(body.value);
           at = body.next;
         }
--- a/fuzz/FuzzRegressions.ts
+++ b/fuzz/FuzzRegressions.ts
@@ -5,7 +5,7 @@
 export interface FuzzRegression {
   readonly name: string;
   /** What callers would see again. */
-  readonly guards: string;
+  readonly symptom: string;
   /** Seed that it was found by. */
   readonly seed: number;
   readonly plan: FuzzCase;
@@ -38,46 +38,49 @@
 };
 
 /** One request, and what its arrivals get. */
-function plan(route: FuzzRequest['route'], ...answers: readonly FuzzAnswer[]): FuzzCase {
+function singleRequestCase(
+  route: FuzzRequest['route'],
+  ...answers: readonly FuzzAnswer[]
+): FuzzCase {
   return { endpoints: 2, requests: [{ ...REQUEST, route, answers }] };
 }
 
 export const REGRESSIONS: readonly FuzzRegression[] = [
   {
     name: 'a seal that Connection names',
-    guards: 'a success without the seal',
+    symptom: 'a success without the seal',
     seed: 43,
-    plan: plan('ask', { ...PLAIN, head: ['hopSeal'] }),
+    plan: singleRequestCase('ask', { ...PLAIN, head: ['hopSeal'] }),
   },
   {
     name: 'an id that Connection names',
-    guards: 'a success without the id of its request',
+    symptom: 'a success without the id of its request',
     seed: 20,
-    plan: plan('hold', { ...PLAIN, head: ['hopId'] }),
+    plan: singleRequestCase('hold', { ...PLAIN, head: ['hopId'] }),
   },
   {
     name: 'an empty seal',
-    guards: 'a success with a seal that holds nothing',
+    symptom: 'a success with a seal that holds nothing',
     seed: 46,
-    plan: plan('hold', { ...PLAIN, head: ['emptySeal'] }),
+    plan: singleRequestCase('hold', { ...PLAIN, head: ['emptySeal'] }),
   },
   {
     name: 'the ids of two requests',
-    guards: 'a success that bears the id of another request too',
+    symptom: 'a success that bears the id of another request too',
     seed: 85,
-    plan: plan('ask', { ...PLAIN, head: ['ownIdThenOther'] }),
+    plan: singleRequestCase('ask', { ...PLAIN, head: ['ownIdThenOther'] }),
   },
   {
     name: 'a transfer coding that is not chunks',
-    guards: 'coded bytes as the body of a success',
+    symptom: 'coded bytes as the body of a success',
     seed: 77,
-    plan: plan('stream', { ...STREAM, framing: 'close', head: ['otherCoding'] }),
+    plan: singleRequestCase('stream', { ...STREAM, framing: 'close', head: ['otherCoding'] }),
   },
   {
     name: 'a seal with a byte beyond ASCII',
-    guards: 'a stream with a changed seal',
+    symptom: 'a stream with a changed seal',
     seed: 3_519,
-    plan: plan('stream', {
+    plan: singleRequestCase('stream', {
       ...STREAM,
       framing: 'close',
       edits: [{ kind: 'insert', region: 'value', at: 0.718, value: 255 }],
@@ -85,15 +88,15 @@
   },
   {
     name: 'a stream that goes on as a plain answer',
-    guards: 'a stream that ends by a fault of the entry',
+    symptom: 'a stream that ends by a fault of the entry',
     seed: 984,
-    plan: plan('stream', { ...STREAM, cut: { at: 0.85, by: 'reset' } }, PLAIN),
+    plan: singleRequestCase('stream', { ...STREAM, cut: { at: 0.85, by: 'reset' } }, PLAIN),
   },
   {
     name: 'an answer without a length that is given up half way',
-    guards: 'an entry process that ends with all its streams',
+    symptom: 'an entry process that ends with all its streams',
     seed: 1,
-    plan: plan('ask', {
+    plan: singleRequestCase('ask', {
       ...STREAM,
       framing: 'close',
       edits: [{ kind: 'flip', region: 'event', at: 0.99, value: 1 }],
@@ -101,13 +104,13 @@
   },
   {
     name: 'a stream without an event',
-    guards: 'a success with a head that the HTTP library has made up',
+    symptom: 'a success with a head that the HTTP library has made up',
     seed: 1,
-    plan: plan('stream', { ...STREAM, size: 0 }),
+    plan: singleRequestCase('stream', { ...STREAM, size: 0 }),
   },
   {
     name: 'an event that has lost its id, and a break behind it',
-    guards: 'an event twice in a stream that goes on after the one before',
+    symptom: 'an event twice in a stream that goes on after the one before',
     seed: 905_711,
     plan: {
       endpoints: 2,
--- a/fuzz/FuzzRender.ts
+++ b/fuzz/FuzzRender.ts
@@ -15,7 +15,7 @@
 export interface RenderContext {
   readonly id: string;
   /** Id of the request before it on the connection. */
-  readonly earlierId: string;
+  readonly previousId: string;
   /** Names the answer apart from all others. */
   readonly seal: string;
   /** Event after which a stream goes on. */
@@ -36,10 +36,10 @@
 }
 
 /** Pause before an answer that comes shortly after another, ms. */
-const SOON_MS = 2;
+const DELAYED_EXTRA_MS = 2;
 
 /** How long endpoints that refuse want to rest, s. */
-const REST_S = '0.02';
+const RETRY_AFTER_S = '0.02';
 
 function bodyOf(kind: FuzzAnswerKind, size: number, { id, lastEvent }: RenderContext): Segment[] {
   if (kind === 'stream') {
@@ -81,7 +81,7 @@
   const type = kind === 'stream' ? 'text/event-stream' : 'application/octet-stream';
   const own =
     kind === 'refusal'
-      ? [headLine(WIRE_NAMES.notRun, '1'), headLine('Retry-After', REST_S)]
+      ? [headLine(WIRE_NAMES.notRun, '1'), headLine('Retry-After', RETRY_AFTER_S)]
       : [headLine(WIRE_NAMES.seal, seal)];
   const lines = [
     headLine(WIRE_NAMES.id, id),
@@ -89,12 +89,12 @@
     ...own,
     framingLine(framing, length),
   ];
-  return { before: '', protocol: 'HTTP/1.1', status: STATUS[kind], lines };
+  return { interimText: '', protocol: 'HTTP/1.1', status: STATUS[kind], lines };
 }
 
-function headSegments({ before, protocol, status, lines }: AnswerHeadText): Segment[] {
+function headSegments({ interimText, protocol, status, lines }: AnswerHeadText): Segment[] {
   return [
-    { region: null, text: before },
+    { region: null, text: interimText },
     { region: 'status', text: `${protocol} ${status} OK\r\n` },
     ...lines.flatMap(({ name, value, eol }) => [
       { region: 'name' as const, text: name },
@@ -106,7 +106,7 @@
   ];
 }
 
-function framed(parts: readonly Segment[], framing: FuzzFraming): Segment[] {
+function frameBody(parts: readonly Segment[], framing: FuzzFraming): Segment[] {
   if (framing !== 'chunked') {
     return [...parts];
   }
@@ -119,13 +119,14 @@
 }
 
 /** Places of a region's bytes; all of a body's where the answer has none of that region. */
-function placesOf(segments: readonly Segment[], region: FuzzRegion): readonly number[] {
+function positionsOf(segments: readonly Segment[], region: FuzzRegion): readonly number[] {
   let at = 0;
   return segments.flatMap((segment) => {
     const from = at;
     at += segment.text.length;
-    const isMeant = segment.region === region || (region === 'body' && segment.region === 'event');
-    return isMeant ? Array.from({ length: segment.text.length }, (_item, i) => from + i) : [];
+    const isInRegion =
+      segment.region === region || (region === 'body' && segment.region === 'event');
+    return isInRegion ? Array.from({ length: segment.text.length }, (_item, i) => from + i) : [];
   });
 }
 
@@ -145,12 +146,12 @@
 /** Makes the edits from the last place on, so that none moves another. */
 function editText(segments: readonly Segment[], edits: readonly FuzzEdit[]): string {
   const text = segments.map((segment) => segment.text).join('');
-  const placed = edits.flatMap(({ kind, region, at, value }) => {
-    const places = placesOf(segments, region);
-    const place = places[Math.floor(at * places.length)];
-    return place === undefined ? [] : [{ kind, place, value }];
+  const positionedEdits = edits.flatMap(({ kind, region, at, value }) => {
+    const positions = positionsOf(segments, region);
+    const position = positions[Math.floor(at * positions.length)];
+    return position === undefined ? [] : [{ kind, place: position, value }];
   });
-  return [...placed]
+  return [...positionedEdits]
     .sort((a, b) => b.place - a.place)
     .reduce((changed, { kind, place, value }) => EDITS[kind](changed, place, value), text);
 }
@@ -159,7 +160,7 @@
 
 function renderExtra({ id, kind }: FuzzExtra, ctx: RenderContext): string {
   const seal = `${ctx.seal}.extra`;
-  const ids = { same: ctx.id, earlier: ctx.earlierId, none: ctx.id };
+  const ids = { same: ctx.id, earlier: ctx.previousId, none: ctx.id };
   const own = { ...ctx, id: ids[id], seal, lastEvent: 0 };
   const parts = bodyOf(kind, kind === 'stream' ? 2 : EXTRA_SIZE, own);
   const length = parts.reduce((sum, { text }) => sum + text.length, 0);
@@ -170,8 +171,8 @@
 
 /** A text in the pieces in which it is written. */
 export function splitText(text: string, splits: readonly number[], pauseMs: number): FuzzWrite[] {
-  const places = splits.map((at) => Math.floor(at * text.length)).sort((a, b) => a - b);
-  const bounds = [0, ...places, text.length];
+  const positions = splits.map((at) => Math.floor(at * text.length)).sort((a, b) => a - b);
+  const bounds = [0, ...positions, text.length];
   return bounds
     .slice(1)
     .map((end, i) => ({ text: text.slice(bounds[i], end), pauseMs: i === 0 ? 0 : pauseMs }))
@@ -195,15 +196,17 @@
   const parts = bodyOf(kind, size, ctx);
   const length = parts.reduce((sum, { text }) => sum + text.length, 0);
   const head = changeHead(headOf(kind, framing, length, ctx), answer.head);
-  const text = editText([...headSegments(head), ...framed(parts, framing)], answer.edits);
-  const kept = cut === null ? text : text.slice(0, Math.floor(cut.at * (text.length + 1)));
+  const text = editText([...headSegments(head), ...frameBody(parts, framing)], answer.edits);
+  const truncated = cut === null ? text : text.slice(0, Math.floor(cut.at * (text.length + 1)));
   const extraTexts = (when: FuzzExtra['when']): string =>
     extras.flatMap((extra) => (extra.when === when ? [renderExtra(extra, ctx)] : [])).join('');
-  const soon = extraTexts('soon');
+  const delayedExtras = extraTexts('soon');
   return {
     writes: [
-      ...splitText(kept + extraTexts('same'), splits, pauseMs),
-      ...(soon === '' ? [] : [{ bytes: Buffer.from(soon, 'latin1'), pauseMs: SOON_MS }]),
+      ...splitText(truncated + extraTexts('same'), splits, pauseMs),
+      ...(delayedExtras === ''
+        ? []
+        : [{ bytes: Buffer.from(delayedExtras, 'latin1'), pauseMs: DELAYED_EXTRA_MS }]),
     ],
     onNext: Buffer.from(extraTexts('next'), 'latin1'),
     end: endOf(answer),
--- a/fuzz/FuzzRun.ts
+++ b/fuzz/FuzzRun.ts
@@ -1,15 +1,15 @@
 /** Plays cases against the real code, some side by side, and shrinks those that fail. */
 import { setTimeout as delay } from 'node:timers/promises';
-import { askOf, playCaller } from './FuzzCaller.js';
+import { callerRequestOf, runCaller } from './FuzzCaller.js';
 import { FuzzEndpoints } from './FuzzEndpoint.js';
 import { startEntry } from './FuzzEntry.js';
 import { judgeCase, type FuzzOutcome, type FuzzVerdict } from './FuzzOracle.js';
-import { planCase } from './FuzzPlan.js';
+import { drawCase } from './FuzzPlan.js';
 import { shrinkCase } from './FuzzShrink.js';
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
 /** What arrivals beyond a request's script get. */
-const PROPER: FuzzAnswer = {
+const VALID_ANSWER: FuzzAnswer = {
   kind: 'plain',
   framing: 'length',
   size: 8,
@@ -23,7 +23,7 @@
 };
 
 /** Ids of a case's requests, eight hexadecimal digits. */
-function idOf(seed: number, i: number): string {
+function requestIdOf(seed: number, i: number): string {
   const mixed = Math.imul(seed * 8 + i + 1, 0x9e3779b1);
   // eslint-disable-next-line no-bitwise
   return (mixed >>> 0).toString(16).padStart(8, '0');
@@ -31,24 +31,30 @@
 
 function answerOf({ route, answers }: FuzzRequest, nth: number): FuzzAnswer {
   const kind = route === 'stream' || route === 'fixed' ? 'stream' : 'plain';
-  return answers[nth] ?? { ...PROPER, kind };
+  return answers[nth] ?? { ...VALID_ANSWER, kind };
 }
 
 /** Plays one case to its end. */
-export async function playCase(plan: FuzzCase, seed: number): Promise<FuzzVerdict> {
-  const requests = plan.requests.map((request, i) => askOf(request, idOf(seed, i)));
-  const plans = new Map(requests.map((asked) => [asked.id, asked.plan]));
+export async function runCase(plan: FuzzCase, seed: number): Promise<FuzzVerdict> {
+  const requests = plan.requests.map((request, i) =>
+    callerRequestOf(request, requestIdOf(seed, i)),
+  );
+  const plans = new Map(requests.map((request) => [request.id, request.plan]));
   const endpoints = new FuzzEndpoints((id, nth) => {
     const own = plans.get(id);
-    return own === undefined ? PROPER : answerOf(own, nth);
+    return own === undefined ? VALID_ANSWER : answerOf(own, nth);
   });
   const ports = await Promise.all(
     Array.from({ length: plan.endpoints }, async () => endpoints.listen()),
   );
   const entry = await startEntry(seed, ports);
   try {
-    const heard = await playCaller(entry.port, requests);
-    return judgeCase({ heard, arrivals: endpoints.arrivals, faults: entry.faults });
+    const transcripts = await runCaller(entry.port, requests);
+    return judgeCase({
+      transcripts,
+      arrivals: endpoints.arrivals,
+      errorLines: entry.errorLines,
+    });
   } finally {
     entry.close();
     endpoints.close();
@@ -79,22 +85,22 @@
   /** Cases played at once. */
   readonly jobs: number;
   /** The run ends with so many failures. */
-  readonly mostFailures: number;
+  readonly maxFailures: number;
 }
 
 /** Probes of endpoints end by themselves within this time, ms. */
 const SETTLE_MS = 1_000;
 
 /** How often a run's remains are counted until they are gone, ms. */
-const SETTLE_STEP_MS = 50;
+const SETTLE_POLL_MS = 50;
 
 const RESOURCES = ['TCPSocketWrap', 'TCPServerWrap', 'TCPConnectWrap', 'Timeout', 'Immediate'];
 
 function countResources(): ReadonlyMap<string, number> {
   // Only this tool, never a process of ours, depends on it.
   // eslint-disable-next-line n/no-unsupported-features/node-builtins
-  const held = process.getActiveResourcesInfo();
-  return new Map(RESOURCES.map((kind) => [kind, held.filter((one) => one === kind).length]));
+  const active = process.getActiveResourcesInfo();
+  return new Map(RESOURCES.map((kind) => [kind, active.filter((one) => one === kind).length]));
 }
 
 /** Resources beyond those of before, once they have had time to end. */
@@ -109,7 +115,7 @@
       return leaks;
     }
     // eslint-disable-next-line no-await-in-loop
-    await delay(SETTLE_STEP_MS);
+    await delay(SETTLE_POLL_MS);
   }
 }
 
@@ -117,64 +123,64 @@
   const { seed } = failure;
   let { findings } = failure;
   const plan = await shrinkCase(failure.plan, async (smaller) => {
-    const verdict = await playCase(smaller, seed);
+    const verdict = await runCase(smaller, seed);
     findings = verdict.findings.length > 0 ? verdict.findings : findings;
     return verdict.findings.length > 0;
   });
   return { seed, findings, plan };
 }
 
-async function playSeeds(
-  { seed, cases, jobs, mostFailures }: FuzzOptions,
-  playing: Set<number>,
-  thrown: readonly FuzzFailure[],
+async function runSeeds(
+  { seed, cases, jobs, maxFailures }: FuzzOptions,
+  runningSeeds: Set<number>,
+  uncaught: readonly FuzzFailure[],
 ): Promise<Omit<FuzzResult, 'leaks'>> {
   const outcomes = { whole: 0, passed: 0, own: 0, notRun: 0, broken: 0 };
   const failures: FuzzFailure[] = [];
-  let played = 0;
-  const work = async (): Promise<void> => {
-    while (played < cases && failures.length < mostFailures && thrown.length === 0) {
-      const own = seed + played;
-      played += 1;
-      const plan = planCase(own);
-      playing.add(own);
+  let startedCount = 0;
+  const runWorker = async (): Promise<void> => {
+    while (startedCount < cases && failures.length < maxFailures && uncaught.length === 0) {
+      const caseSeed = seed + startedCount;
+      startedCount += 1;
+      const plan = drawCase(caseSeed);
+      runningSeeds.add(caseSeed);
       // eslint-disable-next-line no-await-in-loop
-      const verdict = await playCase(plan, own);
-      playing.delete(own);
+      const verdict = await runCase(plan, caseSeed);
+      runningSeeds.delete(caseSeed);
       verdict.outcomes.forEach((outcome) => {
         outcomes[outcome] += 1;
       });
       if (verdict.findings.length > 0) {
-        failures.push({ seed: own, findings: verdict.findings, plan });
+        failures.push({ seed: caseSeed, findings: verdict.findings, plan });
       }
     }
   };
-  await Promise.all(Array.from({ length: jobs }, work));
+  await Promise.all(Array.from({ length: jobs }, runWorker));
   const shrunk: FuzzFailure[] = [];
   // eslint-disable-next-line no-restricted-syntax -- one at a time: what is rare needs a machine at rest
   for (const failure of failures) {
     // eslint-disable-next-line no-await-in-loop
     shrunk.push(await shrinkFailure(failure));
   }
-  return { cases: played, outcomes, failures: [...shrunk, ...thrown] };
+  return { cases: startedCount, outcomes, failures: [...shrunk, ...uncaught] };
 }
 
 /** Plays a run. */
-export async function playFuzz(options: FuzzOptions): Promise<FuzzResult> {
+export async function runFuzz(options: FuzzOptions): Promise<FuzzResult> {
   const before = countResources();
-  const playing = new Set<number>();
-  const thrown: FuzzFailure[] = [];
-  const onThrown = (err: unknown): void => {
+  const runningSeeds = new Set<number>();
+  const uncaught: FuzzFailure[] = [];
+  const onUncaughtException = (err: unknown): void => {
     const findings = [
-      `thrown where nobody awaits, in one of ${[...playing].join()}: ${String(err)}`,
+      `thrown where nobody awaits, in one of ${[...runningSeeds].join()}: ${String(err)}`,
     ];
-    thrown.push(...[...playing].map((seed) => ({ seed, findings, plan: planCase(seed) })));
+    uncaught.push(...[...runningSeeds].map((seed) => ({ seed, findings, plan: drawCase(seed) })));
   };
-  process.prependListener('uncaughtException', onThrown);
+  process.prependListener('uncaughtException', onUncaughtException);
   try {
-    const played = await playSeeds(options, playing, thrown);
+    const played = await runSeeds(options, runningSeeds, uncaught);
     return { ...played, leaks: await findLeaks(before) };
   } finally {
-    process.off('uncaughtException', onThrown);
+    process.off('uncaughtException', onUncaughtException);
   }
 }
--- a/fuzz/FuzzShrink.ts
+++ b/fuzz/FuzzShrink.ts
@@ -2,7 +2,7 @@
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
 /** Tries at most: each plays a case. */
-const MOST_TRIES = 60;
+const MAX_TRIES = 60;
 
 function without<T>(items: readonly T[], i: number): readonly T[] {
   return items.filter((_item, at) => at !== i);
@@ -68,13 +68,13 @@
   let smallest = plan;
   let tries = 0;
   let candidates = smallerCases(smallest);
-  while (candidates.length > 0 && tries < MOST_TRIES) {
+  while (candidates.length > 0 && tries < MAX_TRIES) {
     const [next, ...others] = candidates as readonly [FuzzCase, ...FuzzCase[]];
     tries += 1;
     // eslint-disable-next-line no-await-in-loop
-    const isStill = await fails(next);
-    smallest = isStill ? next : smallest;
-    candidates = isStill ? smallerCases(next) : others;
+    const stillFails = await fails(next);
+    smallest = stillFails ? next : smallest;
+    candidates = stillFails ? smallerCases(next) : others;
   }
   return smallest;
 }
--- a/fuzz/FuzzStreams.ts
+++ b/fuzz/FuzzStreams.ts
@@ -9,9 +9,9 @@
 }
 
 /** What a caller got of a stream. */
-export interface FuzzStreamGot {
+export interface FuzzReceivedStream {
   readonly body: Buffer;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 const EVENT_END = Buffer.from('\n\n');
@@ -30,7 +30,7 @@
 }
 
 /** Id of the last of some whole events; null where it has none, or more than one. */
-export function lastIdOf(events: Buffer): string | null {
+export function lastEventIdOf(events: Buffer): string | null {
   const ends = eventEnds(events);
   const last = events.subarray(ends.at(-2) ?? 0).toString('latin1');
   const ids = last.split('\n').flatMap((line) => {
@@ -41,40 +41,40 @@
 }
 
 /** What is to be explained, and by what. */
-interface Puzzle {
+interface StreamMatch {
   readonly parts: readonly FuzzStreamPart[];
-  readonly got: FuzzStreamGot;
-  readonly bearsHead: (answer: ReadAnswer) => boolean;
+  readonly got: FuzzReceivedStream;
+  readonly hasSameHead: (answer: ReadAnswer) => boolean;
 }
 
 /** Where the search stands: parts and bytes that are used up, and the event after which the next part goes on. */
-interface Place {
+interface SearchPosition {
   readonly part: number;
   readonly at: number;
   readonly lastEvent: string | null;
 }
 
 /** Whether the rest of what a caller got is made of the rest of the parts. */
-function isExplained(puzzle: Puzzle, { part: from, at, lastEvent }: Place): boolean {
-  const { parts, got, bearsHead } = puzzle;
+function canAssemble(match: StreamMatch, { part: from, at, lastEvent }: SearchPosition): boolean {
+  const { parts, got, hasSameHead } = match;
   const rest = got.body.subarray(at);
   return parts.some(({ resumedAfter, answer }, i) => {
     if (i < from || resumedAfter !== lastEvent) {
       return false;
     }
-    const mayBegin = at > 0 || bearsHead(answer);
+    const hasValidHead = at > 0 || hasSameHead(answer);
     return eventEnds(answer.body).some((end) => {
       const events = answer.body.subarray(0, end);
       if (!rest.subarray(0, end).equals(events)) {
         return false;
       }
-      const isEnd = answer.isWhole && end === answer.body.length;
-      if (mayBegin && end === rest.length && (isEnd || !got.isWhole)) {
+      const isEnd = answer.isComplete && end === answer.body.length;
+      if (hasValidHead && end === rest.length && (isEnd || !got.isComplete)) {
         return true;
       }
-      const last = end === 0 ? lastEvent : lastIdOf(events);
-      const mayGoOn = end === 0 || (mayBegin && last !== null);
-      return mayGoOn && isExplained(puzzle, { part: i + 1, at: at + end, lastEvent: last });
+      const last = end === 0 ? lastEvent : lastEventIdOf(events);
+      const mayGoOn = end === 0 || (hasValidHead && last !== null);
+      return mayGoOn && canAssemble(match, { part: i + 1, at: at + end, lastEvent: last });
     });
   });
 }
@@ -84,12 +84,12 @@
  * on after it, and a whole stream only where the last attempt's is whole and was taken to its end. The first one's
  * head is that of the stream.
  */
-export function explainsStream(
+export function canAssembleStream(
   parts: readonly FuzzStreamPart[],
-  got: FuzzStreamGot,
+  got: FuzzReceivedStream,
   callersLastEvent: string | null,
-  bearsHead: (answer: ReadAnswer) => boolean,
+  hasSameHead: (answer: ReadAnswer) => boolean,
 ): boolean {
   const begin = { part: 0, at: 0, lastEvent: callersLastEvent };
-  return isExplained({ parts, got, bearsHead }, begin);
+  return canAssemble({ parts, got, hasSameHead }, begin);
 }
--- a/fuzz/FuzzTypes.ts
+++ b/fuzz/FuzzTypes.ts
@@ -4,7 +4,7 @@
 export type FuzzRoute = 'ask' | 'hold' | 'stream' | 'fixed';
 
 /** Routes whose requests may run once only. */
-export const ONCE_ROUTES: ReadonlySet<FuzzRoute> = new Set(['hold', 'fixed']);
+export const NON_REPEATABLE_ROUTES: ReadonlySet<FuzzRoute> = new Set(['hold', 'fixed']);
 
 /** Routes that are answered by events. */
 export const STREAM_ROUTES: ReadonlySet<FuzzRoute> = new Set(['stream', 'fixed']);
--- a/fuzz/__tests__/unit/FuzzOracle.test.ts
+++ b/fuzz/__tests__/unit/FuzzOracle.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { WIRE_NAMES } from '../../../platform/__tests__/utils/StandInWire.js';
-import { askOf, type FuzzHeard } from '../../FuzzCaller.js';
+import { callerRequestOf, type FuzzTranscript } from '../../FuzzCaller.js';
 import type { FuzzArrival } from '../../FuzzEndpoint.js';
-import { judgeCase, type FuzzSeen } from '../../FuzzOracle.js';
+import { judgeCase, type FuzzObservation } from '../../FuzzOracle.js';
 import type { ConnectionEnd } from '../../FuzzReader.js';
 import type { FuzzRoute } from '../../FuzzTypes.js';
 
@@ -30,18 +30,24 @@
 const OWN = `HTTP/1.1 503 Unavailable\r\nContent-Length: ${OWN_BODY.length}\r\n\r\n${OWN_BODY}`;
 
 /** Something seen on a connection, and how that ended. */
-type Seen = readonly [string, ConnectionEnd?];
+type ConnectionData = readonly [string, ConnectionEnd?];
 
 interface Sample {
   readonly route?: FuzzRoute;
   /** What endpoints sent, one arrival each; they run it unless it's said. */
-  readonly sent: readonly Seen[];
-  readonly got: Seen;
+  readonly sent: readonly ConnectionData[];
+  readonly got: ConnectionData;
   readonly runs?: boolean;
   readonly lastEvents?: readonly (string | null)[];
 }
 
-function seenOf({ route = 'stream', sent, got, runs = true, lastEvents = [] }: Sample): FuzzSeen {
+function observationOf({
+  route = 'stream',
+  sent,
+  got,
+  runs = true,
+  lastEvents = [],
+}: Sample): FuzzObservation {
   const plan = {
     route,
     size: 0,
@@ -52,20 +58,20 @@
     isPipelined: false,
     answers: [],
   };
-  const asked = askOf(plan, ID);
+  const request = callerRequestOf(plan, ID);
   const arrivals = sent.map(([text, end = 'open'], i): FuzzArrival => {
-    const { method, path, body } = asked;
+    const { method, path, body } = request;
     const connection = { bytes: Buffer.from(text, 'latin1'), end };
     return { id: ID, method, path, body, lastEvent: lastEvents[i] ?? null, runs, connection };
   });
   const [text, end = 'open'] = got;
-  const heard: FuzzHeard = {
-    asked: [asked],
+  const transcript: FuzzTranscript = {
+    requests: [request],
     bytes: Buffer.from(text, 'latin1'),
     end,
-    isStuck: false,
+    hasTimedOut: false,
   };
-  return { heard: [heard], arrivals, faults: [] };
+  return { transcripts: [transcript], arrivals, errorLines: [] };
 }
 
 const RESUMED = {
@@ -73,7 +79,7 @@
   lastEvents: [null, '1'],
 };
 
-const KEPT: Readonly<Record<string, Sample>> = {
+const ALLOWED_SAMPLES: Readonly<Record<string, Sample>> = {
   'a whole answer': { sent: [[PLAIN]], got: [PLAIN] },
   'a connection that breaks off': { sent: [[PLAIN]], got: ['HTTP/1.1 200', 'reset'] },
   'a stream in other chunks': {
@@ -91,7 +97,7 @@
   'a refusal of what was refused': { sent: [[REFUSED]], got: [OWN], runs: false },
 };
 
-const BROKEN: Readonly<Record<string, Sample>> = {
+const VIOLATION_SAMPLES: Readonly<Record<string, Sample>> = {
   'no seal': { sent: [[PLAIN]], got: [PLAIN.replace(`${SEAL}: s1\r\n`, '')] },
   'the head that a library makes up': {
     sent: [[CHUNKS + LAST_CHUNK]],
@@ -136,12 +142,12 @@
 
 describe('FuzzOracle', () => {
   // Guards against: an oracle that finds fault with what is allowed.
-  Object.entries(KEPT).forEach(([name, sample]) => {
-    it(`allows ${name}`, () => assert.deepEqual(judgeCase(seenOf(sample)).findings, []));
+  Object.entries(ALLOWED_SAMPLES).forEach(([name, sample]) => {
+    it(`allows ${name}`, () => assert.deepEqual(judgeCase(observationOf(sample)).findings, []));
   });
 
   // Guards against: an oracle that lets a broken promise pass.
-  Object.entries(BROKEN).forEach(([name, sample]) => {
-    it(`finds ${name}`, () => assert.notDeepEqual(judgeCase(seenOf(sample)).findings, []));
+  Object.entries(VIOLATION_SAMPLES).forEach(([name, sample]) => {
+    it(`finds ${name}`, () => assert.notDeepEqual(judgeCase(observationOf(sample)).findings, []));
   });
 });
--- a/fuzz/__tests__/unit/FuzzReader.test.ts
+++ b/fuzz/__tests__/unit/FuzzReader.test.ts
@@ -10,7 +10,7 @@
     answers: answers.length,
     status: last?.status,
     body: last?.body.toString('latin1'),
-    isWhole: last?.isWhole,
+    isComplete: last?.isComplete,
     isFaulty: fault !== null,
   };
 }
@@ -19,33 +19,37 @@
 
 const HELLO = `${OK}Content-Length: 5\r\n\r\nhello`;
 
-const whole = { answers: 1, status: 200, body: 'hello', isWhole: true, isFaulty: false };
-const part = { ...whole, isWhole: false };
+const complete = { answers: 1, status: 200, body: 'hello', isComplete: true, isFaulty: false };
+const incomplete = { ...complete, isComplete: false };
 
-const READ: Readonly<Record<string, readonly [string, ConnectionEnd, object]>> = {
-  'a length': [HELLO, 'open', whole],
-  'a length that is not reached': [HELLO.slice(0, -1), 'fin', { ...part, body: 'hell' }],
-  'bytes behind a length': [`${HELLO}x`, 'open', { ...whole, isFaulty: true }],
-  'two answers': [HELLO + HELLO, 'open', { ...whole, answers: 2 }],
-  chunks: [`${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n`, 'open', whole],
-  'chunks without the last': [`${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n`, 'fin', part],
+const READABLE_ANSWERS: Readonly<Record<string, readonly [string, ConnectionEnd, object]>> = {
+  'a length': [HELLO, 'open', complete],
+  'a length that is not reached': [HELLO.slice(0, -1), 'fin', { ...incomplete, body: 'hell' }],
+  'bytes behind a length': [`${HELLO}x`, 'open', { ...complete, isFaulty: true }],
+  'two answers': [HELLO + HELLO, 'open', { ...complete, answers: 2 }],
+  chunks: [`${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n`, 'open', complete],
+  'chunks without the last': [
+    `${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n`,
+    'fin',
+    incomplete,
+  ],
   'a chunk that is longer than its size': [
     `${OK}Transfer-Encoding: chunked\r\n\r\n4\r\nhello\r\n0\r\n\r\n`,
     'open',
-    { ...part, body: 'hell', isFaulty: true },
+    { ...incomplete, body: 'hell', isFaulty: true },
   ],
-  'a body that ends with its connection': [`${OK}\r\nhello`, 'fin', whole],
-  'such a body on an open connection': [`${OK}\r\nhello`, 'open', part],
-  'such a body that is reset': [`${OK}\r\nhello`, 'reset', part],
+  'a body that ends with its connection': [`${OK}\r\nhello`, 'fin', complete],
+  'such a body on an open connection': [`${OK}\r\nhello`, 'open', incomplete],
+  'such a body that is reset': [`${OK}\r\nhello`, 'reset', incomplete],
   'a status without a body': [
     'HTTP/1.1 204 None\r\n\r\n',
     'open',
-    { ...whole, status: 204, body: '' },
+    { ...complete, status: 204, body: '' },
   ],
 };
 
 /** What is no answer. */
-const FAULTS: Readonly<Record<string, string>> = {
+const MALFORMED_ANSWERS: Readonly<Record<string, string>> = {
   'other bytes': 'hello',
   'a status of two digits': 'HTTP/1.1 20 OK\r\n\r\n',
   'another protocol': 'HTTP/2.0 200 OK\r\n\r\n',
@@ -61,12 +65,12 @@
 
 describe('FuzzReader', () => {
   // Guards against: an oracle that takes half an answer for a whole one, or two for one.
-  Object.entries(READ).forEach(([name, [text, end, expected]]) => {
+  Object.entries(READABLE_ANSWERS).forEach(([name, [text, end, expected]]) => {
     it(`reads ${name}`, () => assert.deepEqual(summary(text, end), expected));
   });
 
   // Guards against: an oracle as lenient as the library under test.
-  Object.entries(FAULTS).forEach(([name, text]) => {
+  Object.entries(MALFORMED_ANSWERS).forEach(([name, text]) => {
     it(`finds fault with ${name}`, () => {
       assert.notEqual(readConnection(Buffer.from(text, 'latin1'), 'open').fault, null);
     });
--- a/fuzz/__tests__/unit/FuzzRun.test.ts
+++ b/fuzz/__tests__/unit/FuzzRun.test.ts
@@ -1,34 +1,34 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { planCase } from '../../FuzzPlan.js';
+import { drawCase } from '../../FuzzPlan.js';
 import { REGRESSIONS } from '../../FuzzRegressions.js';
-import { playCase, playFuzz } from '../../FuzzRun.js';
+import { runCase, runFuzz } from '../../FuzzRun.js';
 
 /** Case that a run begins with, how many follow, and how many are played at once. */
-const RUN = { seed: 1, cases: 1_200, jobs: 16, mostFailures: 3 } as const;
+const RUN = { seed: 1, cases: 1_200, jobs: 16, maxFailures: 3 } as const;
 
 /** Of all requests of a run, at least this share is answered whole: else the run shows little. */
-const LEAST_WHOLE_SHARE = 0.25;
+const MIN_COMPLETE_SHARE = 0.25;
 
 describe('a fuzz run', () => {
   it('has the same case for the same seed, and another for another', () => {
-    assert.deepEqual(planCase(1), planCase(1));
-    assert.notDeepEqual(planCase(1), planCase(2));
+    assert.deepEqual(drawCase(1), drawCase(1));
+    assert.notDeepEqual(drawCase(1), drawCase(2));
   });
 
   // Guards against: an answer that an endpoint didn't give to this request, and what a run leaves behind.
   it('breaks no promise and leaves nothing behind', async () => {
-    const { failures, leaks, outcomes } = await playFuzz(RUN);
+    const { failures, leaks, outcomes } = await runFuzz(RUN);
     const requests = Object.values(outcomes).reduce((sum, count) => sum + count, 0);
     assert.deepEqual(failures, []);
     assert.deepEqual(leaks, []);
-    assert.ok(outcomes.whole / requests > LEAST_WHOLE_SHARE, JSON.stringify(outcomes));
+    assert.ok(outcomes.whole / requests > MIN_COMPLETE_SHARE, JSON.stringify(outcomes));
   });
 
-  REGRESSIONS.forEach(({ name, guards, seed, plan }) => {
+  REGRESSIONS.forEach(({ name, symptom, seed, plan }) => {
     it(`keeps its promises with ${name}`, async () => {
-      const { findings } = await playCase(plan, seed);
-      assert.deepEqual(findings, [], guards);
+      const { findings } = await runCase(plan, seed);
+      assert.deepEqual(findings, [], symptom);
     });
   });
 });
--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -73,7 +73,7 @@
   async crash(n: number, forMs: number, wait: (ms: number) => Promise<void>): Promise<void> {
     this.#engines.get(n)?.stop();
     await this.#setGone(n, true);
-    this.group.lockstep.reform();
+    this.group.lockstep.restart();
     await wait(forMs);
     await this.#startOne(n);
   }
@@ -150,7 +150,7 @@
   /** An engine that a request has ended comes back, unless something else has replaced it meanwhile. */
   async #comeBack(n: number, ended: StandInEngine): Promise<void> {
     await this.#setGone(n, true);
-    this.group.lockstep.reform();
+    this.group.lockstep.restart();
     await delay(RESTART_DELAY_MS);
     if (this.#engines.get(n) === ended && !this.#isStopped) {
       await this.#startOne(n);
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -201,7 +201,7 @@
       events: this.#events,
       engineEnds: this.#engines.ends,
       fatalRuns: this.#engines.seen.filter(({ body }) => body.startsWith(FATAL_PREFIX)),
-      mixedPasses: lockstep.mixed,
+      mixedPasses: lockstep.mixedPasses,
       acked: this.#operator.acked,
       readBack,
       ownEnds: this.#ownEnds,
