--- a/fakes/FakeEngine.ts
+++ b/fakes/FakeEngine.ts
@@ -1,21 +1,21 @@
-/** Stand-in of a model engine: finite slots, deterministic answers, and a journal of its runs. */
+/** Fake model engine: a fixed number of slots, deterministic answers and a count of runs for each request. */
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 import { FakeOrders, type FakeOrder } from './FakeOrders.js';
 
-/** How an engine behaves. */
+/** Parameters of a fake engine. */
 export interface FakeEngineOptions {
   readonly slots: number;
   /** Time until the first token, ms. */
   readonly prefillMs: number;
   /** Time between tokens, ms. */
   readonly tokenMs: number;
-  /** Whether orders with an old fencing token are refused. */
+  /** Whether orders with an old fencing token are refused; true by default. */
   readonly fencing?: boolean;
-  /** How old a load report is, ms. */
+  /** Delay until a change of the load is reported, ms; 0 by default. */
   readonly loadLagMs?: number;
-  /** Ends the engine; called when it begins to run a request that says so. */
+  /** Crashes the engine; called when it starts to answer a request whose `fatal` is true. */
   readonly crash?: () => void;
 }
 
@@ -26,13 +26,13 @@
   readonly prompt?: unknown;
   readonly messages?: unknown;
   readonly user?: string;
-  /** Whether it ends each engine that begins to run it. */
+  /** Whether it crashes each engine that starts to answer it. */
   readonly fatal?: boolean;
 }
 
 const DEFAULT_TOKENS = 16;
 
-/** The tokens that any engine of a model says to a prompt. */
+/** Tokens of the answer; they depend only on model, prompt, user and length, so every engine gives the same. */
 export function answerTokens(body: CompletionBody): readonly string[] {
   const text = JSON.stringify([body.model, body.prompt ?? body.messages, body.user]);
   const seed = createHash('sha256').update(text).digest('hex');
@@ -46,7 +46,7 @@
   return `cmpl-${createHash('sha256').update(JSON.stringify(body)).digest('hex').slice(0, 16)}`;
 }
 
-/** One event of a streamed answer. */
+/** Server-sent event with one token of a streamed answer. */
 export function tokenEvent(body: CompletionBody, token: string): string {
   const choice = { index: 0, delta: { content: token } };
   return `data: ${JSON.stringify({ id: answerId(body), model: body.model, choices: [choice] })}\n\n`;
@@ -55,7 +55,7 @@
 /** Last event of a streamed answer. */
 export const FINAL_EVENT = 'data: [DONE]\n\n';
 
-/** The answer to a request that is not streamed. */
+/** JSON body of the answer to a request that is not streamed. */
 export function nonStreamedAnswer(body: CompletionBody): string {
   const content = answerTokens(body).join('');
   const choice = { index: 0, message: { role: 'assistant', content } };
@@ -74,31 +74,31 @@
   return Buffer.concat(chunks as Buffer[]).toString('utf8');
 }
 
-/** Prefixes kept in the cache; the oldest goes first. */
+/** Maximum number of cached prefixes; the oldest is evicted first. */
 const CACHE_SIZE = 64;
 
-/** Every so many cache events one is lost. */
+/** Every 7th cache event is left out of `/cache-events`, as if it were lost. */
 const LOST_EVENT_INTERVAL = 7;
 
 function prefixOf(body: CompletionBody): string {
   return JSON.stringify(body.prompt ?? body.messages ?? '').slice(0, 64);
 }
 
-/** Small requests beside completions: what an engine tells and takes. */
+/** Handler of a request other than a completion; its result is sent as JSON. */
 type ManagementHandler = (req: IncomingMessage) => Promise<unknown>;
 
 /** A model engine on one port. */
 export class FakeEngine {
   readonly #options: FakeEngineOptions;
 
-  /** How often each request was begun, by its `user` field. */
+  /** Number of runs of each request, by its `user` field. */
   readonly #runs = new Map<string, number>();
 
   readonly #slotWaiters: (() => void)[] = [];
 
   readonly #orders: FakeOrders;
 
-  /** Cached prefixes, oldest first; also what `kv` exports. */
+  /** Cached prefixes, oldest first; `/kv` exports and imports them. */
   readonly #cache = new Set<string>();
 
   readonly #events: { readonly seq: number; readonly added: string }[] = [];
@@ -138,7 +138,7 @@
     return this.#runs;
   }
 
-  /** Listens; every open answer is cut off when the server's connections are closed. */
+  /** Starts the HTTP server; closing its connections cuts off the answers in progress. */
   async listen(port: number, host = '127.0.0.1'): Promise<Server> {
     const server = createServer((req, res) => {
       this.#handle(req, res).catch(() => res.destroy());
@@ -179,7 +179,7 @@
     }
   }
 
-  /** Load is reported late: what is told was true some time ago. */
+  /** Updates the reported load after `loadLagMs`, so that a report is out of date by that time. */
   #reportLoad(): void {
     const load = {
       running: this.#running,
--- a/fakes/FakeGroup.ts
+++ b/fakes/FakeGroup.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in of a group of ranks in lock-step on an expert map. A rank takes orders one by one; a step
- * runs only when every rank is willing, and the group counts steps in which maps differed.
+ * Fake group of ranks that run in lock-step on an expert map. A rank applies orders one by one; a step
+ * runs only when every rank can run it. The group counts the steps in which ranks used different maps.
  */
 
-/** Which experts each rank holds, by layer: `map[layer][rank]` lists experts. */
+/** Experts of each rank by layer: `map[layer][rank]` lists them. */
 export type FakeMap = readonly (readonly (readonly number[])[])[];
 
 /** An order to one rank. */
@@ -14,7 +14,7 @@
       readonly version: number;
       readonly map: FakeMap;
     }
-  /** Run no step from `step` on until told what became of the version. */
+  /** Run no step from `step` on before the version is committed or aborted. */
   | {
       readonly kind: 'arm';
       readonly token: number;
@@ -25,7 +25,7 @@
   | { readonly kind: 'abort'; readonly token: number; readonly version: number }
   | { readonly kind: 'query'; readonly token: number };
 
-/** What a rank answers. */
+/** Reply of a rank to an order; `highest` is the highest fencing token that it has seen. */
 export interface FakeRankReply {
   readonly accepted: boolean;
   readonly highest: number;
@@ -37,12 +37,13 @@
   readonly step: number;
 }
 
-/** What a step did. */
+/** Result of a step. */
 export interface FakeStep {
   readonly step: number;
   readonly ran: boolean;
+  /** Ranks that could not run the step. */
   readonly waiting: readonly number[];
-  /** Load of each rank, summed over layers; empty if the step didn't run. */
+  /** Load of each rank in tokens, summed over layers; empty if the step didn't run. */
   readonly rankLoad: readonly number[];
 }
 
@@ -72,13 +73,13 @@
     if (rank.committed === version || rank.version >= version) {
       return null;
     }
-    // Another version may be committed and not yet in use: an abort is about the one it names.
+    // Another version may be committed but not active yet; an abort affects only the version that it names.
     return rank.prepared?.version === version ? { ...rank, prepared: null, armed: null } : rank;
   },
   query: (rank) => rank,
 };
 
-/** Takes a committed version into use from the step it was armed for. */
+/** Switches to a committed version from the step it was armed for. */
 function activate(rank: Rank, step: number): Rank {
   const { armed, committed, prepared } = rank;
   return armed !== null && committed === armed.version && step >= armed.step && prepared !== null
@@ -86,12 +87,11 @@
     : rank;
 }
 
-/** A rank that is armed and doesn't know what became of the version waits rather than guesses. */
+/** False while a rank is stalled, or has reached its armed step and doesn't know whether the version is committed. */
 function canRunStep({ stalled, armed, committed }: Rank, step: number): boolean {
   return !stalled && (armed === null || step < armed.step || committed === armed.version);
 }
 
-/** The group. */
 export class FakeGroup {
   readonly #fencing: boolean;
 
@@ -115,7 +115,7 @@
     this.#ranks = Array.from({ length: ranks }, () => rank);
   }
 
-  /** Steps in which ranks used different maps: must stay 0. */
+  /** Number of steps in which ranks used different versions; must stay 0. */
   get mixedSteps(): number {
     return this.#mixedSteps;
   }
@@ -124,7 +124,7 @@
     return this.#ranks.map(({ version }) => version);
   }
 
-  /** Gives an order to one rank. */
+  /** Applies an order to one rank. Throws an error if there is no such rank. */
   applyOrder(index: number, order: FakeRankOrder): FakeRankReply {
     const rank = this.#ranks[index];
     if (rank === undefined) {
@@ -150,7 +150,7 @@
     };
   }
 
-  /** A stalled rank runs no step, so the group runs none. */
+  /** Stalls or resumes a rank; the group runs no step while one is stalled. */
   setStalled(index: number, stalled: boolean): void {
     const rank = this.#ranks[index];
     if (rank !== undefined) {
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Runs one step if all ranks are willing. `load[layer][expert]` counts tokens. */
+  /** Runs one step if all ranks can run it. `load[layer][expert]` counts tokens. */
   runStep(load: readonly (readonly number[])[]): FakeStep {
     const step = this.#step + 1;
     const waiting = this.#ranks.flatMap((rank, i) => (canRunStep(rank, step) ? [] : [i]));
@@ -173,7 +173,7 @@
     return { step, ran: true, waiting, rankLoad: this.#rankLoads(load) };
   }
 
-  /** Load of an expert is shared evenly by the ranks that hold a replica. */
+  /** Load of each rank; the load of an expert is divided evenly among the ranks that have a replica. */
   #rankLoads(load: readonly (readonly number[])[]): readonly number[] {
     return this.#ranks.map(({ map }, rank) =>
       load.reduce(
--- a/fakes/FakeLockstep.ts
+++ b/fakes/FakeLockstep.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a group whose ranks switch maps at a pass they were armed for, and which one rank can
- * hold. It counts passes that began while ranks used different maps.
+ * Fake group whose ranks switch maps at the pass for which they were armed. A rank with a hold stops the whole
+ * group at that pass. The group counts the passes that started while ranks used different maps.
  */
 import type { EngineOrder, GroupMap, RankReport } from '../src/protocol/index.js';
 
@@ -46,7 +46,6 @@
   release: (rank, { step }) => (rank.held === step ? { ...rank, held: null } : null),
 };
 
-/** The group. */
 export class FakeLockstep {
   #ranks: readonly Rank[];
 
@@ -60,7 +59,7 @@
     this.#ranks = Array.from({ length: ranks }, () => INITIAL_RANK);
   }
 
-  /** Passes that began while ranks used different maps. */
+  /** Number of passes that started while ranks used different maps. */
   get mixedPasses(): number {
     return this.#mixedPasses;
   }
@@ -73,7 +72,7 @@
     return this.#ranks.map(({ version }) => version);
   }
 
-  /** Carries an order out; false where it doesn't fit. */
+  /** Applies an order to a rank; returns false if its epoch is another or the rank's state doesn't allow it. */
   applyOrder(index: number, order: EngineOrder): boolean {
     const rank = this.#ranks[index];
     if (rank === undefined || order.epoch !== this.#epoch) {
@@ -91,7 +90,7 @@
     return next !== null;
   }
 
-  /** Begins the next pass, unless a rank holds it. */
+  /** Runs the next pass, unless a rank has a hold at it or before. */
   runPass(): void {
     const next = this.#step + 1;
     if (this.#ranks.some(({ held }) => held !== null && held <= next)) {
@@ -114,7 +113,7 @@
     }
   }
 
-  /** All ranks start anew, as after one has crashed. */
+  /** Resets all ranks under a new epoch, as after the crash of one. */
   restart(): void {
     this.#epoch += 1;
     this.#ranks = this.#ranks.map(() => INITIAL_RANK);
@@ -140,13 +139,13 @@
     };
   }
 
-  /** The map that a rank uses; null for the one it starts with. */
+  /** Map that a rank uses; null for its initial one. */
   mapOf(index: number): GroupMap | null {
     const map = this.#ranks[index]?.map;
     return map === undefined || map === INITIAL_RANK.map ? null : (JSON.parse(map) as GroupMap);
   }
 
-  /** A map in use, as a coordinator would read it. */
+  /** Map with one layer, in which each rank has the expert of its index; a coordinator reads it as the one in use. */
   get map(): GroupMap {
     return [this.#ranks.map((_rank, i) => [i])];
   }
--- a/fakes/FakeMain.ts
+++ b/fakes/FakeMain.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in: `FakeMain engine|service IP:PORT [slots prefillMs tokenMs]`. */
+/** Runs one fake: `FakeMain engine|service IP:PORT [slots prefillMs tokenMs]`. */
 import { FakeEngine } from './FakeEngine.js';
 import { FakeService } from './FakeService.js';
 import { parseAddress } from '../src/transport/index.js';
@@ -15,7 +15,7 @@
       slots: Number(slots),
       prefillMs: Number(prefillMs),
       tokenMs: Number(tokenMs),
-      // It dies as a process does that meets a request it can't bear.
+      // Exits as a process does that crashes on a request.
       // eslint-disable-next-line n/no-process-exit
       crash: () => process.exit(1),
     }),
@@ -28,7 +28,7 @@
   throw new Error(`no stand-in "${kind ?? ''}" at "${listen}"`);
 }
 process.once('SIGTERM', () => {
-  // A stand-in ends at once: what its open answers need is the gate's business.
+  // Exits without waiting for answers in progress; the gate in front of it has to drain them first.
   // eslint-disable-next-line n/no-process-exit
   process.exit(0);
 });
--- a/fakes/FakeOrders.ts
+++ b/fakes/FakeOrders.ts
@@ -1,13 +1,13 @@
-/** Orders that an engine accepts, with fencing on or off. */
+/** State of an engine that orders change, with or without fencing. */
 
-/** An order, with the fencing token of who gives it. */
+/** An order with the fencing token of its sender. */
 export interface FakeOrder {
   readonly order: string;
   readonly token: number;
   readonly value: unknown;
 }
 
-/** What an engine answers to an order. */
+/** Reply of an engine to an order; `highest` is the highest token that it has received. */
 export interface FakeOrderReply {
   readonly accepted: boolean;
   readonly highest: number;
@@ -22,7 +22,7 @@
   'import-kv',
 ]);
 
-/** Takes orders and remembers what was ordered last. */
+/** Applies orders and keeps the last value of each. */
 export class FakeOrders {
   readonly #fencing: boolean;
 
@@ -38,7 +38,7 @@
     return Object.fromEntries(this.#state);
   }
 
-  /** An engine with fencing refuses a token lower than the highest seen; another takes any. */
+  /** Applies an order of a known name. With fencing, a token lower than the highest received is refused. */
   apply({ order, token, value }: FakeOrder): FakeOrderReply {
     const stale = this.#fencing && token < this.#highest;
     this.#highest = Math.max(this.#highest, token);
--- a/fakes/FakeService.ts
+++ b/fakes/FakeService.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a plain service: answers by path and body, and counts what it ran. */
+/** Fake HTTP service: its answer depends on path and body, and it counts the runs of each body. */
 import { createServer, type Server } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 
@@ -7,7 +7,7 @@
   return JSON.stringify({ path, said: body, ok: true });
 }
 
-/** A plain service on one port. */
+/** A fake service on one port; it answers after `serviceMs`. */
 export class FakeService {
   readonly #serviceMs: number;
 
@@ -17,7 +17,7 @@
     this.#serviceMs = serviceMs;
   }
 
-  /** How often each body was run. */
+  /** Number of runs by request body. */
   get runs(): ReadonlyMap<string, number> {
     return this.#runs;
   }
--- a/fakes/__tests__/unit/FakeGroup.test.ts
+++ b/fakes/__tests__/unit/FakeGroup.test.ts
@@ -26,11 +26,11 @@
 }
 
 describe('FakeGroup', () => {
-  it('steps with each rank under its own load', () => {
+  it('reports the load of each rank in a step', () => {
     assert.deepEqual(new FakeGroup(2, OLD).runStep(LOAD).rankLoad, [7, 3]);
   });
 
-  it('waits at the armed step until every rank knows, then uses the new map', () => {
+  it('waits at the armed step until every rank has the commit, then uses the new map', () => {
     const group = groupWithArmedMap();
     assert.equal(group.runStep(LOAD).ran, true);
     group.applyOrder(0, { kind: 'commit', token: 1, version: 2 });
@@ -49,7 +49,7 @@
     assert.equal(group.mixedSteps, 1);
   });
 
-  it('refuses an old token with fencing, and takes it without', () => {
+  it('refuses an old token with fencing and accepts it without', () => {
     const isOldTokenAccepted = (fencing: boolean): boolean => {
       const group = new FakeGroup(1, OLD, fencing);
       group.applyOrder(0, { kind: 'query', token: 5 });
--- a/fakes/__tests__/unit/MapCommit.test.ts
+++ b/fakes/__tests__/unit/MapCommit.test.ts
@@ -24,7 +24,7 @@
   readonly order: RankOrder;
 }
 
-/** Real coordinators before the stand-in group, over a network that loses, doubles and reorders. */
+/** Two real coordinators and a fake group, over a network that loses, duplicates and reorders messages. */
 class Simulation {
   readonly group = new FakeGroup(RANKS, MAP);
 
@@ -51,7 +51,7 @@
     });
   }
 
-  /** An order arrives at its rank; its answer goes on its way. */
+  /** Applies an order at its rank and queues the answer. */
   deliver({ who, rank, order }: Packet): void {
     const sent: FakeRankOrder =
       order.kind === 'prepare' ? { ...order, kind: 'prepare', map: MAP } : (order as FakeRankOrder);
@@ -61,7 +61,7 @@
     this.answers.push({ who, input: { type: 'answer', rank, token, kind, accepted, status } });
   }
 
-  /** Runs on without faults until the second coordinator is ready. */
+  /** Runs without faults until a coordinator is ready, for at most 400 rounds. */
   runUntilReady(who: number): void {
     for (let i = 0; i < 400 && this.phase(who) !== 'ready'; i += 1) {
       this.now += 250;
@@ -107,10 +107,10 @@
   },
 ];
 
-describe('stepMapChange', () => {
-  // Orders and answers are lost, doubled and late, a coordinator gives up half way, and a second one
-  // takes over while the first still sends. In no step may ranks use different maps, and the second
-  // must bring the group to one version on which it steps again.
+describe('stepMapCommit', () => {
+  // Orders and answers are lost, duplicated and delayed, a coordinator times out during a change, and a second
+  // one takes over while the first still sends. Ranks must never use different maps in one step, and the second
+  // coordinator must bring the group to one version and make it run steps again.
   it('never mixes maps under random schedules', () => {
     const action = fc.tuple(fc.nat(ACTIONS.length - 1), fc.nat(1_000));
     fc.assert(
@@ -130,7 +130,7 @@
     );
   });
 
-  it('takes all ranks over, and leaves the old map where one refuses', () => {
+  it('switches all ranks, and keeps the old map if one refuses', () => {
     const simulation = new Simulation();
     simulation.input(0, { type: 'gained', token: 1 });
     simulation.runUntilReady(0);
@@ -145,19 +145,19 @@
   });
 });
 
-describe('judgeOrder', () => {
-  // The gate restarted and forgot the highest token. An order of a coordinator replaced long ago
-  // arrives first; it must wait until a quorum has said which token is the highest, and then fail.
-  it('passes nothing before it has learned the token', () => {
+describe('checkOrder', () => {
+  // After a restart the gate doesn't know the highest token, and an order of a replaced coordinator arrives
+  // first. It must wait until a quorum has reported the highest token, and is stale then.
+  it('lets no order pass before the highest token is reported', () => {
     const first = checkOrder(INITIAL_ORDER_GATE, 3);
     assert.equal(first.verdict, 'wait');
     assert.equal(checkOrder(raiseHighestToken(first.state, 5), 3).verdict, 'stale');
     assert.equal(checkOrder(raiseHighestToken(first.state, 5), 5).verdict, 'pass');
   });
 
-  // The engine ignores tokens, and an old order is still on its way to it. A newer one sent now
-  // could overtake it; it waits until the old one was answered.
-  it('holds a newer order while an older one is open', () => {
+  // The engine ignores tokens, and an older order is still in flight to it. A newer order could overtake it,
+  // so it waits for the answer to the older one.
+  it('delays a newer order while an older one is in flight', () => {
     const passed = checkOrder(raiseHighestToken(INITIAL_ORDER_GATE, 1), 1);
     const newer = checkOrder(passed.state, 2);
     assert.deepEqual([passed.verdict, newer.verdict], ['pass', 'wait']);
--- a/fakes/__tests__/unit/MapSwitch.test.ts
+++ b/fakes/__tests__/unit/MapSwitch.test.ts
@@ -14,7 +14,7 @@
 
 const RANKS = 3;
 
-/** ms between two events of a schedule. */
+/** Time between two events of a schedule, ms. */
 const TICK_MS = 40;
 
 interface Coordinator {
@@ -28,7 +28,7 @@
   readonly order: EngineOrder;
 }
 
-/** What a schedule does next; numbers choose among what is there. */
+/** Event of a schedule; `who` and `at` select among the existing coordinators and orders, modulo their number. */
 type Event =
   | { readonly kind: 'pass' }
   | { readonly kind: 'report'; readonly who: number; readonly rank: number }
@@ -36,11 +36,11 @@
   | { readonly kind: 'late'; readonly at: number }
   | { readonly kind: 'propose'; readonly who: number }
   | { readonly kind: 'replace' }
-  /** The newest coordinator's lease runs out, and is granted to it again under its token. */
+  /** The newest coordinator's lease expires and is granted to it again with the same token. */
   | { readonly kind: 'regain' }
   | { readonly kind: 'reform' }
   | { readonly kind: 'tick'; readonly who: number }
-  /** A coordinator hears ranks and sends what they lack; bits tell who is heard and what is answered. */
+  /** A coordinator gets reports and sends orders; bits select the ranks that report and the orders that are answered. */
   | {
       readonly kind: 'round';
       readonly who: number;
@@ -48,7 +48,7 @@
       readonly answeredMask: number;
     };
 
-/** A group, two coordinators of which the newer fences the older, and orders on their way. */
+/** A group, two coordinators of which the newer fences off the older, and orders in flight. */
 class Simulation {
   readonly group = new FakeLockstep(RANKS);
 
@@ -57,12 +57,12 @@
     { index: 1, state: initMapSwitch(RANKS, 1) },
   ];
 
-  /** Highest token that each rank's process has heard. */
+  /** Highest token that each rank's process has received. */
   readonly #highestTokens = [0, 0, 0];
 
   #pendingOrders: Order[] = [];
 
-  /** Orders that got no answer and may still be carried out. */
+  /** Orders without an answer that may still be applied. */
   #lateOrders: Order[] = [];
 
   #token = 0;
@@ -95,7 +95,7 @@
     (handlers[event.kind] as (item: Event) => void)(event);
   }
 
-  /** Lets the newest coordinator work without faults for a while. */
+  /** Runs 60 rounds of the newest coordinator without faults, with a new map proposed in one of them. */
   runWithoutFaults(): void {
     const newest = this.#coordinatorAt(this.#token - 1);
     for (let round = 0; round < 60; round += 1) {
@@ -255,10 +255,10 @@
 );
 
 describe('MapSwitch', () => {
-  // Control elects a new leader, so a lease runs out and is granted to its holder again, token and all.
-  // Streams grow slow, since demand has shifted and the map doesn't follow: ranks refuse to prepare a
-  // version that isn't higher than all they have had, and the versions began anew.
-  it('goes on changing maps under a lease that it gains again', () => {
+  // After the election of a new leader of the control plane, a lease expires and is granted to its holder again
+  // with the same token. If versions started over then, ranks would refuse to prepare them, since a version must
+  // be higher than all before; the map would no longer follow demand and streams would become slow.
+  it('keeps changing maps after it is granted the same lease again', () => {
     const simulation = new Simulation();
     simulation.runWithoutFaults();
     const { changed } = simulation;
@@ -267,10 +267,10 @@
     assert.equal(simulation.changed, changed + 1);
   });
 
-  // A coordinator believes in another map than a rank holds, so that the rank would have to copy more than
-  // it may, and refuses to prepare. Demand shifts on and streams grow slow: no other change may begin
-  // while this one waits. It must be given up, and what the ranks hold be read again.
-  it('gives up a map that a rank never prepares', () => {
+  // A coordinator assumes another map than the one a rank has, so the rank would have to copy more experts than
+  // is allowed and refuses to prepare. No other change can start while this one waits, and streams become slow as
+  // demand shifts. The change must be abandoned, and the ranks' maps be read again.
+  it('abandons a map that a rank never prepares', () => {
     const group = new FakeLockstep(RANKS);
     let state = initMapSwitch(RANKS, 0);
     const outputs: MapSwitchOutput[] = [];
@@ -291,10 +291,10 @@
     assert.ok(outputs.some(({ type }) => type === 'abandoned'));
   });
 
-  // A hold of an earlier change is carried out late, while the next map is being prepared. The rank is released,
-  // and its map must follow at once: it waited a second and a half, the time that a whole map may take on
-  // its way, and all streams of the group went on under a map that demand had left behind.
-  it('prepares a rank at once after it has released it', () => {
+  // A hold of an earlier change is applied late, while the next map is being prepared. After the rank is released,
+  // its map must be sent at once, not after the 1.5 s that the transfer of a whole map may take: until then all
+  // streams of the group run on an outdated map.
+  it('sends the map to a rank at once after releasing it', () => {
     const group = new FakeLockstep(RANKS);
     let state = initMapSwitch(RANKS, 0);
     const sent: string[] = [];
@@ -327,10 +327,10 @@
     assert.deepEqual(sent, ['15 release', '140 prepare']);
   });
 
-  // Orders to ranks lose their answers and are carried out seconds later; a coordinator dies and its
-  // successor takes over; the group forms anew. Were one rank to begin a pass with another map than
-  // the rest, callers would get tokens computed from two maps at once. No schedule may lead there.
-  it('never lets a pass begin with two maps', () => {
+  // Answers to orders are lost and the orders applied seconds later, a coordinator is replaced, and the group
+  // restarts. If one rank started a pass with another map than the others, callers would get tokens computed from
+  // two maps.
+  it('never starts a pass with two maps', () => {
     fc.assert(
       fc.property(fc.array(EVENT, { minLength: 30, maxLength: 400 }), (events) => {
         const simulation = new Simulation();
@@ -341,9 +341,9 @@
     );
   });
 
-  // After any of this the group must not stand still, and the next change must go through: a hold
-  // that nobody releases would stop every stream of the group for good.
-  it('gets a change through once the faults are over', () => {
+  // After the same faults the group must run passes, and the next change must complete: a hold that is never
+  // released would stop every stream of the group forever.
+  it('completes a change once the faults are over', () => {
     fc.assert(
       fc.property(fc.array(EVENT, { minLength: 10, maxLength: 200 }), (events) => {
         const simulation = new Simulation();
@@ -351,8 +351,8 @@
         const { step } = simulation.group;
         const { changed } = simulation;
         simulation.runWithoutFaults();
-        assert.ok(simulation.group.step > step, 'the group stands still');
-        assert.ok(simulation.changed > changed, 'no change went through');
+        assert.ok(simulation.group.step > step, 'the group runs no passes');
+        assert.ok(simulation.changed > changed, 'no change was completed');
         assert.equal(new Set(simulation.group.versions).size, 1);
         assert.equal(simulation.group.mixedPasses, 0);
       }),
