--- a/fuzz/FuzzCaller.ts
+++ b/fuzz/FuzzCaller.ts
@@ -1,4 +1,4 @@
-/** A raw TCP caller that keeps its connection, and reads what comes with the strict reader. */
+/** Caller on raw TCP with persistent connections; it parses answers with the strict reader. */
 import { connect, type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
@@ -12,7 +12,7 @@
 import { splitText } from './FuzzRender.js';
 import type { FuzzRequest, FuzzWrite } from './FuzzTypes.js';
 
-/** A request with its id, as its caller sends it. */
+/** A request with its id, as the caller sends it. */
 export interface FuzzCallerRequest {
   readonly id: string;
   readonly method: string;
@@ -21,27 +21,27 @@
   readonly plan: FuzzRequest;
 }
 
-/** One connection of the caller, once it is over. */
+/** Requests and received bytes of one connection of the caller. */
 export interface FuzzTranscript {
   readonly requests: readonly FuzzCallerRequest[];
   readonly bytes: Buffer;
   readonly end: ConnectionEnd;
-  /** Whether the caller gave up waiting on an open connection. */
+  /** Whether the caller stopped waiting for answers while the connection was open. */
   readonly hasTimedOut: boolean;
 }
 
 export const FUZZ_HOST = 'fuzz.example';
 
-/** Time that a caller gives its request, ms. */
+/** Deadline that the caller sends with its request, ms. */
 const DEADLINE_MS = 250;
 
-/** An answer that is this late never comes, ms: far over any deadline, also on a busy machine. */
+/** Time after which an answer counts as missing, ms; far longer than any deadline, even on a busy machine. */
 const ANSWER_TIMEOUT_MS = 6_000;
 
-/** What comes after the last answer comes within this time, ms. */
+/** Time for which bytes after the last answer are still read, ms. */
 const LINGER_MS = 4;
 
-/** The request of a plan; `id` names it. */
+/** Makes the request of a plan; it is a GET if it has no body, otherwise a POST. */
 export function callerRequestOf(plan: FuzzRequest, id: string): FuzzCallerRequest {
   const body = `body of ${id} `.repeat(plan.size).slice(0, plan.size);
   return { id, method: plan.size === 0 ? 'GET' : 'POST', path: `/${plan.route}/${id}`, body, plan };
@@ -75,7 +75,7 @@
   return splitText(lines.join('\r\n'), splits, pauseMs);
 }
 
-/** One connection under way. */
+/** An open connection of the caller. */
 class CallerConnection {
   readonly requests: FuzzCallerRequest[] = [];
 
@@ -87,7 +87,7 @@
 
   #hasTimedOut = false;
 
-  /** Called with each change. */
+  /** Called after each received chunk and at the end of the connection. */
   #onUpdate: (() => void) | null = null;
 
   constructor(port: number) {
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Whether another request may be sent on it. */
+  /** Whether another request may be sent on the connection. */
   get isOpen(): boolean {
     const { answers, fault } = this.#read();
     const hasConnectionClose = answers.some((answer) =>
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Resolves once all that was asked is answered, or no more can come. */
+  /** Resolves once all requests are answered, no more answers can come, or the time is over. */
   async waitForAnswers(): Promise<void> {
     const isOver = (): boolean => {
       const { answers, fault } = this.#read();
@@ -172,7 +172,7 @@
   }
 }
 
-/** Sends requests one after the other, pipelined ones at once, and gives what came on each connection. */
+/** Sends requests in order, pipelined ones without waiting for answers; returns one transcript a connection. */
 export async function runCaller(
   port: number,
   requests: readonly FuzzCallerRequest[],
--- a/fuzz/FuzzConnection.ts
+++ b/fuzz/FuzzConnection.ts
@@ -1,16 +1,16 @@
-/** An endpoint's side of a connection: writes answers by script, and keeps what it has written. */
+/** The endpoint's side of a connection, which writes rendered answers and records the bytes. */
 import type { Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import type { ConnectionEnd } from './FuzzReader.js';
 import type { RenderedAnswer } from './FuzzRender.js';
 
-/** What an endpoint has sent on one connection. */
+/** Data that an endpoint has sent on one connection, and how it ended the connection. */
 export interface FuzzSentData {
   readonly bytes: Buffer;
   readonly end: ConnectionEnd;
 }
 
-/** One connection; it keeps what was written. */
+/** One connection with a record of the written bytes. */
 export class EndpointConnection implements FuzzSentData {
   readonly #socket: Socket;
 
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Writes an answer in its pieces. */
+  /** Writes an answer in its pieces, then ends the connection as the answer says. */
   async writeAnswer({ writes, end }: RenderedAnswer): Promise<void> {
     // eslint-disable-next-line no-restricted-syntax -- one write after the other
     for (const { bytes, pauseMs } of writes) {
--- a/fuzz/FuzzEndpoint.ts
+++ b/fuzz/FuzzEndpoint.ts
@@ -1,23 +1,23 @@
-/** Raw TCP endpoints that answer by script and write down what they sent. */
+/** Endpoints on raw TCP that give scripted answers and record what they receive and send. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import { EndpointConnection, type FuzzSentData } from './FuzzConnection.js';
 import { renderAnswer, type RenderedAnswer } from './FuzzRender.js';
 import type { FuzzAnswer } from './FuzzTypes.js';
 
-/** A request as it came to an endpoint. */
+/** A request as an endpoint received it. */
 export interface FuzzArrival {
   readonly id: string;
   readonly method: string;
   readonly path: string;
   readonly body: string;
   readonly lastEvent: string | null;
-  /** Whether the endpoint begins to run it. */
+  /** Whether the endpoint runs it; not so for a refusal and a drop. */
   readonly runs: boolean;
   readonly connection: FuzzSentData;
 }
 
-/** The answer to an arrival; `nth` counts those of one id from 0. */
+/** Selects the answer to an arrival; `nth` counts the arrivals of one id from 0. */
 export type ChooseAnswer = (id: string, nth: number) => FuzzAnswer;
 
 interface ParsedRequest {
@@ -25,13 +25,13 @@
   readonly path: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
-  /** Bytes that it takes. */
+  /** Size of head and body in bytes. */
   readonly byteLength: number;
 }
 
 const HEAD_END = '\r\n\r\n';
 
-/** A whole request at the begin of some bytes; null where more are due. */
+/** Parses the request at the start of some bytes; null if it isn't complete. */
 function parseRequest(text: string): ParsedRequest | null {
   const headEnd = text.indexOf(HEAD_END);
   if (headEnd < 0) {
@@ -52,7 +52,7 @@
     : { method, path, headers, body: text.slice(from, length), byteLength: length };
 }
 
-/** The endpoints of one case; arrivals at all of them stand in one list, in order. */
+/** The endpoints of one case; `arrivals` lists the requests to all of them in order. */
 export class FuzzEndpoints {
   readonly arrivals: FuzzArrival[] = [];
 
@@ -66,7 +66,7 @@
     this.#choose = choose;
   }
 
-  /** Starts one more, and gives its port. */
+  /** Starts another endpoint; returns its port. */
   async listen(): Promise<number> {
     const server = createServer({ noDelay: true }, (socket) => this.#onConnection(socket));
     this.#servers.push(server);
@@ -88,7 +88,7 @@
     let previousId = '';
     this.#sockets.add(socket);
     socket.once('close', () => this.#sockets.delete(socket));
-    // What ends a connection is the matter of the case.
+    // A case may end its connections with an error; the oracle judges the result.
     socket.on('error', () => undefined);
     socket.on('data', (chunk) => {
       unparsed += chunk.toString('latin1');
@@ -105,7 +105,7 @@
     });
   }
 
-  /** Writes an arrival down, and renders its answer. */
+  /** Records an arrival and renders its answer. */
   #recordArrival(
     req: ParsedRequest,
     connection: FuzzSentData,
--- a/fuzz/FuzzEntry.ts
+++ b/fuzz/FuzzEntry.ts
@@ -1,4 +1,4 @@
-/** The real entry process's path of a request, in this process, with endpoints that it is told of. */
+/** Runs the request path of the real entry in this process, with a fixed configuration and given endpoints. */
 import type { AddressInfo } from 'node:net';
 import { pino } from 'pino';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -17,7 +17,7 @@
 
 const SERVICE = 'desk';
 
-/** What a route declares. */
+/** Configuration of each route. */
 const ROUTES: Readonly<Record<FuzzRoute, object>> = {
   ask: { type: 'idempotent' },
   hold: { type: 'non_idempotent' },
@@ -44,7 +44,7 @@
   ),
 };
 
-/** Retries are never refused for want of budget: a case has a few requests only. */
+/** Retry budget that the few requests of a case never use up. */
 const RETRIES = { ratio: 1, extra: 100, windowMs: 1_000 };
 
 function memberRecordOf(port: number, i: number): MemberRecord {
@@ -73,15 +73,15 @@
   };
 }
 
-/** An entry under test. */
+/** A running entry. */
 export interface FuzzEntry {
   readonly port: number;
-  /** Lines that it has logged of its own faults. */
+  /** Lines that it has logged at level error or above. */
   readonly errorLines: readonly string[];
   close: () => void;
 }
 
-/** Starts an entry that knows endpoints at some ports. */
+/** Starts an entry with endpoints at the given loopback ports. */
 export async function startEntry(seed: number, ports: readonly number[]): Promise<FuzzEntry> {
   const faults: string[] = [];
   const stop = new AbortController();
--- a/fuzz/FuzzHead.ts
+++ b/fuzz/FuzzHead.ts
@@ -1,15 +1,15 @@
-/** Lines of an answer's head, and the changes that are made to them by name. */
+/** Lines of an answer's head and the named changes to them. */
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import type { FuzzHeadChange } from './FuzzTypes.js';
 
-/** One header line; `eol` ends it. */
+/** One header line; `eol` is its line ending. */
 export interface HeadLine {
   readonly name: string;
   readonly value: string;
   readonly eol: string;
 }
 
-/** A head; `before` are interim answers in front of it. */
+/** A head; `interimText` holds the interim answers sent before it. */
 export interface AnswerHeadText {
   readonly interimText: string;
   readonly protocol: string;
@@ -19,7 +19,7 @@
 
 type Change = (head: AnswerHeadText) => AnswerHeadText;
 
-/** An id that no request has. */
+/** Id that is used by no request. */
 const OTHER_ID = 'ffffffff';
 
 export function headLine(name: string, value: string): HeadLine {
@@ -50,7 +50,7 @@
   return editLine(name, (line) => ({ ...line, value: value(line.value) }));
 }
 
-/** Moves a declared length; answers without one get it. */
+/** Changes the Content-Length; an answer without one gets `value(0)`. */
 function setLength(value: (old: number) => string): Change {
   return (head) => {
     const known = head.lines.find(({ name }) => name === 'Content-Length');
@@ -118,7 +118,7 @@
   eventType: setValue('Content-Type', () => 'text/event-stream'),
 };
 
-/** Makes the changes in order. */
+/** Applies the changes in order. */
 export function changeHead(
   head: AnswerHeadText,
   changes: readonly FuzzHeadChange[],
--- a/fuzz/FuzzMain.ts
+++ b/fuzz/FuzzMain.ts
@@ -1,11 +1,11 @@
-/** `npm run fuzz -- --seed 1 --cases 1000`: plays cases; prints each that fails, and the run, as one JSON line each. */
+/** `npm run fuzz -- --seed 1 --cases 1000`: runs cases; prints each failed one and the result as a JSON line each. */
 import { Command, Option, runExit } from 'clipanion';
 import { runFuzz } from './FuzzRun.js';
 
 function parsePositiveInteger(text: string, name: string): number {
   const value = Number(text);
   if (!Number.isSafeInteger(value) || value <= 0) {
-    throw new Error(`${name}: "${text}" is not a whole number above 0`);
+    throw new Error(`${name}: "${text}" is not a positive integer`);
   }
   return value;
 }
@@ -14,16 +14,20 @@
   static override paths = [Command.Default];
 
   static override usage = Command.Usage({
-    description: 'plays requests against endpoints that answer wrongly, byte by byte',
+    description: 'tests an entry with endpoints whose answers are altered at the byte level',
   });
 
   seed = Option.String('--seed', '1', { description: 'seed of the first case' });
 
-  cases = Option.String('--cases', '1000', { description: 'how many, with seeds that follow' });
+  cases = Option.String('--cases', '1000', {
+    description: 'number of cases, with consecutive seeds',
+  });
 
-  jobs = Option.String('--jobs', '16', { description: 'cases at once' });
+  jobs = Option.String('--jobs', '16', { description: 'number of cases that run concurrently' });
 
-  failures = Option.String('--failures', '5', { description: 'failed cases that end the run' });
+  failures = Option.String('--failures', '5', {
+    description: 'number of failed cases after which the run stops',
+  });
 
   override async execute(): Promise<number> {
     const result = await runFuzz({
--- a/fuzz/FuzzOracle.ts
+++ b/fuzz/FuzzOracle.ts
@@ -1,4 +1,4 @@
-/** Judges what callers got by what was written to the wire. Pure, and independent of the code under test. */
+/** Checks what the caller received against the bytes that endpoints sent. Pure, without code of the entry. */
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import type { FuzzCallerRequest, FuzzTranscript } from './FuzzCaller.js';
 import type { FuzzArrival } from './FuzzEndpoint.js';
@@ -6,29 +6,32 @@
 import { canAssembleStream, type FuzzStreamPart } from './FuzzStreams.js';
 import { NON_REPEATABLE_ROUTES } from './FuzzTypes.js';
 
-/** What was seen of a case. */
+/** Observations of a case. */
 export interface FuzzObservation {
   readonly transcripts: readonly FuzzTranscript[];
   readonly arrivals: readonly FuzzArrival[];
-  /** Lines that the entry has logged of its own faults. */
+  /** Lines that the entry has logged at level error or above. */
   readonly errorLines: readonly string[];
 }
 
-/** How requests ended. */
+/**
+ * Outcome of a request: a complete success, an endpoint's failure passed on, the entry's own failure, one that says
+ * that the request has not run, or an answer that is incomplete, missing or wrong.
+ */
 export type FuzzOutcome = 'whole' | 'passed' | 'own' | 'notRun' | 'broken';
 
-/** A verdict: promises that were broken, and how requests ended. */
+/** Violated guarantees, one text each, and the outcomes of the requests. */
 export interface FuzzVerdict {
   readonly findings: readonly string[];
   readonly outcomes: readonly FuzzOutcome[];
 }
 
-/** What an endpoint has sent in answer to one arrival. */
+/** Answers of an endpoint to one arrival. */
 interface Attempt {
   readonly arrival: FuzzArrival;
-  /** Answers on its connection that bear the request's id, and no other. */
+  /** Final answers on its connection with the request's id and no other id. */
   readonly answers: readonly ReadAnswer[];
-  /** Whether one of the connection, for this request or for no named one, says that it has not run. */
+  /** Whether an answer on the connection, with this request's id or none, says that the request has not run. */
   readonly reportsNotRun: boolean;
 }
 
@@ -37,7 +40,7 @@
   readonly finding: string | null;
 }
 
-/** Statuses that promise that a request has not run. */
+/** Statuses by which the entry says that a request has not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 const MISDIRECTED = 421;
@@ -87,7 +90,7 @@
   );
 }
 
-/** A success is the whole answer of an endpoint to this request, or shows that it isn't whole. */
+/** A success must be a complete answer of an endpoint to this request, or be recognizable as incomplete. */
 function judgeSuccess(
   request: FuzzCallerRequest,
   got: ReadAnswer,
@@ -121,18 +124,18 @@
   );
 }
 
-/** Whether a failure was made by the entry itself. */
+/** Whether an answer has the form of the entry's own errors. */
 function isEntryError(got: ReadAnswer): boolean {
   try {
     const { error } = JSON.parse(got.body.toString('utf8')) as { error?: { code?: unknown } };
     return got.status >= 400 && typeof error?.code === 'string';
   } catch {
-    // Not JSON: not of its making.
+    // The entry's errors are JSON.
     return false;
   }
 }
 
-/** A failure is an endpoint's own, unchanged, or the entry's; and says `not run` only where nothing has run. */
+/** A failure must be an endpoint's, unchanged, or the entry's, which may say `not run` only if no endpoint ran it. */
 function judgeFailure(
   request: FuzzCallerRequest,
   got: ReadAnswer,
@@ -214,7 +217,7 @@
   return [...altered, ...repeatedRuns];
 }
 
-/** Judges a case that is over. */
+/** Judges a finished case. */
 export function judgeCase({ transcripts, arrivals, errorLines }: FuzzObservation): FuzzVerdict {
   const attempts = arrivals.map(attemptOf);
   const requestsById = new Map(
