--- a/fuzz/FuzzPlan.ts
+++ b/fuzz/FuzzPlan.ts
@@ -1,4 +1,4 @@
-/** Draws cases from seeds. Pure: the same seed gives the same case. */
+/** Generates random cases. Pure: the same seed gives the same case. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
@@ -56,10 +56,10 @@
   'eventType',
 ];
 
-/** Bytes that mean something to a parser of HTTP. */
+/** Bytes that are significant to an HTTP parser. */
 const SIGNIFICANT_BYTES = [0, 9, 10, 13, 32, 44, 48, 58, 59, 127, 255];
 
-/** Events of a stream and bytes of a body at most: enough for several writes. */
+/** Maximum number of events of a stream and of bytes of a body: enough for several writes. */
 const MAX_EVENTS = 5;
 const MAX_BODY_BYTES = 60;
 
@@ -67,7 +67,7 @@
 
 const MAX_REQUESTS = 4;
 
-/** Numbers of one case. */
+/** Random number generator of one case. */
 class FuzzRandom {
   readonly #rng;
 
@@ -79,7 +79,7 @@
     return uniformFloat64(this.#rng);
   }
 
-  /** A whole number from 0 below `limit`. */
+  /** Integer from 0 to `limit` - 1. */
   nextInteger(limit: number): number {
     return Math.floor(this.nextFraction() * limit);
   }
@@ -122,7 +122,7 @@
   };
 }
 
-/** What an endpoint does to its answer; most answers have one flaw, so that they get far. */
+/** Draws the faults of an answer; most have only one, so that they are processed far before one is detected. */
 function drawFlaws(
   random: FuzzRandom,
 ): Pick<FuzzAnswer, 'head' | 'edits' | 'cut' | 'extras'> & { end: FuzzAnswer['end'] } {
@@ -177,7 +177,7 @@
   };
 }
 
-/** The case of a seed. */
+/** Generates the case of a seed. */
 export function drawCase(seed: number): FuzzCase {
   const random = new FuzzRandom(seed);
   const count = 1 + random.nextInteger(MAX_REQUESTS);
--- a/fuzz/FuzzReader.ts
+++ b/fuzz/FuzzReader.ts
@@ -1,31 +1,31 @@
-/** Strict reader of HTTP/1.1 answers (RFC 9112). It is the oracle, and shares no code with the libraries under test. */
+/** Strict parser of HTTP/1.1 answers (RFC 9112) for the oracle; it shares no code with the libraries under test. */
 
-/** How the end of a body is told. */
+/** How the end of a body is determined. */
 export type AnswerFraming = 'none' | 'length' | 'chunked' | 'close';
 
-/** An answer as it stands on a connection. */
+/** An answer parsed from a connection. */
 export interface ReadAnswer {
   readonly status: number;
   /** Names in lower case. */
   readonly headers: readonly (readonly [string, string])[];
   readonly body: Buffer;
   readonly framing: AnswerFraming;
-  /** Whether its framing says that nothing is missing. */
+  /** Whether it has been received up to the end that its framing gives. */
   readonly isComplete: boolean;
 }
 
-/** How the sender has ended its side of a connection. */
+/** How the sender ended its side of a connection; `open` if it has not. */
 export type ConnectionEnd = 'open' | 'fin' | 'reset';
 
-/** What stands on a connection. */
+/** Answers parsed from a connection. */
 export interface ReadConnection {
-  /** In order; only the last may be not whole. Informational ones are among them. */
+  /** In order, including informational ones; only the last may be incomplete. */
   readonly answers: readonly ReadAnswer[];
-  /** Why what follows the answers is none, or the last one's body isn't framed; null where nothing is wrong. */
+  /** Syntax error in the last answer's body or in the bytes after it; null if there is none. */
   readonly fault: string | null;
 }
 
-/** Part of a message that was read; `next` is null where more bytes are due. */
+/** Parsed part of a message and the offset after it; `next` is null if the part is incomplete. */
 interface Parsed<T> {
   readonly value: T;
   readonly next: number | null;
@@ -36,10 +36,10 @@
   readonly headers: readonly (readonly [string, string])[];
 }
 
-/** Who has sent the bytes: of an endpoint, what belongs to no answer and reaches nobody is passed over. */
+/** Sender of the bytes. For an endpoint, empty lines before an answer and any reason phrase are accepted. */
 export type AnswerSender = 'entry' | 'endpoint';
 
-/** What can't be an answer. */
+/** Bytes that aren't a valid answer. */
 class AnswerSyntaxError extends Error {
   override name = 'AnswerSyntaxError';
 }
@@ -50,7 +50,7 @@
 
 const STATUS_LINE = /^HTTP\/1\.[01] ([1-9]\d\d) [\t\x20-\x7e\x80-\xff]*$/;
 
-/** Nobody passes a reason on, so that any is taken from an endpoint. */
+/** Status line with any reason phrase; an endpoint's is accepted, as the entry doesn't forward it. */
 const LENIENT_STATUS_LINE = /^HTTP\/1\.[01] ([1-9]\d\d)(?: [^\r\n]*)?$/;
 
 const EMPTY_LINES = /[\r\n]*/y;
@@ -61,10 +61,10 @@
 
 const CONTENT_LENGTH = /^\d{1,15}$/;
 
-/** Statuses without a body, whatever their headers say. */
+/** Final statuses whose answers never have a body, whatever their headers say. */
 const BODYLESS_STATUSES = new Set([204, 304]);
 
-/** The values of a header, in order. */
+/** Values of a header in order; the name's case doesn't matter. */
 export function headerValues(
   { headers }: Pick<ReadAnswer, 'headers'>,
   name: string,
@@ -73,7 +73,7 @@
   return headers.filter(([own]) => own === wanted).map(([, value]) => value);
 }
 
-/** Whether an answer is an interim one: another follows. */
+/** Whether an answer is informational (1xx), so that a final one follows. */
 export function isInformational({ status }: Pick<ReadAnswer, 'status'>): boolean {
   return status < 200;
 }
@@ -95,7 +95,7 @@
   return [(match[1] ?? '').toLowerCase(), match[2] ?? ''];
 }
 
-/** Reads header lines up to the empty one. */
+/** Reads header lines up to the empty line. */
 function readHeaders(text: string, from: number): Parsed<Head['headers']> {
   const headers: (readonly [string, string])[] = [];
   let at = from;
@@ -126,7 +126,7 @@
   return { value: { status: Number(status), headers: value }, next };
 }
 
-/** The framing that a head declares; `length` is 0 where it has none. */
+/** Framing that a head declares, with `length` in bytes for framing by length and 0 otherwise. Throws if invalid. */
 function framingOf(head: Head): { readonly framing: AnswerFraming; readonly length: number } {
   const codings = headerValues(head, 'transfer-encoding');
   const lengths = headerValues(head, 'content-length');
@@ -151,7 +151,10 @@
     : { framing: 'close', length: 0 };
 }
 
-/** Reads chunks and trailers. A fault in them is thrown with what came before it. */
+/**
+ * Reads chunks and trailers and appends the data to `parts`, which keeps what was read if an error is thrown. Returns
+ * the offset after them, or null if they are incomplete.
+ */
 function readChunks(text: string, from: number, parts: string[]): number | null {
   let at = from;
   for (;;) {
@@ -180,7 +183,7 @@
   }
 }
 
-/** A body; `next` is null where it isn't whole. */
+/** Reads a body; `next` is null if it is incomplete. */
 type ReadBody = (text: string, at: number, length: number, end: ConnectionEnd) => Parsed<string>;
 
 const BODY_READERS: Readonly<Record<Exclude<AnswerFraming, 'chunked'>, ReadBody>> = {
@@ -195,13 +198,13 @@
   }),
 };
 
-/** Place of the next byte that isn't part of an empty line. */
+/** Offset of the next byte that isn't a CR or LF. */
 function skipEmptyLines(text: string, at: number): number {
   EMPTY_LINES.lastIndex = at;
   return at + (EMPTY_LINES.exec(text)?.[0].length ?? 0);
 }
 
-/** Reads all that the sender of a connection has sent, up to the first fault. */
+/** Parses all answers that were sent on a connection, up to the first syntax error. */
 export function readConnection(
   bytes: Buffer,
   end: ConnectionEnd,
--- a/fuzz/FuzzRegressions.ts
+++ b/fuzz/FuzzRegressions.ts
@@ -1,12 +1,12 @@
-/** Cases that ever failed, each with what it guards against; CI plays them all. */
+/** Cases that failed once, each with its symptom; CI runs them all. */
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
 /** A case that failed. */
 export interface FuzzRegression {
   readonly name: string;
-  /** What callers would see again. */
+  /** What a caller saw when the case failed. */
   readonly symptom: string;
-  /** Seed that it was found by. */
+  /** Seed with which it was found. */
   readonly seed: number;
   readonly plan: FuzzCase;
 }
@@ -37,7 +37,7 @@
   answers: [],
 };
 
-/** One request, and what its arrivals get. */
+/** Case of one request and the answers to its arrivals. */
 function singleRequestCase(
   route: FuzzRequest['route'],
   ...answers: readonly FuzzAnswer[]
@@ -47,38 +47,38 @@
 
 export const REGRESSIONS: readonly FuzzRegression[] = [
   {
-    name: 'a seal that Connection names',
+    name: 'a seal that is named in Connection',
     symptom: 'a success without the seal',
     seed: 43,
     plan: singleRequestCase('ask', { ...PLAIN, head: ['hopSeal'] }),
   },
   {
-    name: 'an id that Connection names',
+    name: 'an id that is named in Connection',
     symptom: 'a success without the id of its request',
     seed: 20,
     plan: singleRequestCase('hold', { ...PLAIN, head: ['hopId'] }),
   },
   {
     name: 'an empty seal',
-    symptom: 'a success with a seal that holds nothing',
+    symptom: 'a success with an empty seal',
     seed: 46,
     plan: singleRequestCase('hold', { ...PLAIN, head: ['emptySeal'] }),
   },
   {
     name: 'the ids of two requests',
-    symptom: 'a success that bears the id of another request too',
+    symptom: 'a success that also has the id of another request',
     seed: 85,
     plan: singleRequestCase('ask', { ...PLAIN, head: ['ownIdThenOther'] }),
   },
   {
-    name: 'a transfer coding that is not chunks',
-    symptom: 'coded bytes as the body of a success',
+    name: 'a transfer coding other than chunked',
+    symptom: 'encoded bytes as the body of a success',
     seed: 77,
     plan: singleRequestCase('stream', { ...STREAM, framing: 'close', head: ['otherCoding'] }),
   },
   {
-    name: 'a seal with a byte beyond ASCII',
-    symptom: 'a stream with a changed seal',
+    name: 'a seal with a non-ASCII byte',
+    symptom: 'a stream with an altered seal',
     seed: 3_519,
     plan: singleRequestCase('stream', {
       ...STREAM,
@@ -87,14 +87,14 @@
     }),
   },
   {
-    name: 'a stream that goes on as a plain answer',
-    symptom: 'a stream that ends by a fault of the entry',
+    name: 'a stream that is resumed with a plain answer',
+    symptom: 'a stream that ends because of an error in the entry',
     seed: 984,
     plan: singleRequestCase('stream', { ...STREAM, cut: { at: 0.85, by: 'reset' } }, PLAIN),
   },
   {
-    name: 'an answer without a length that is given up half way',
-    symptom: 'an entry process that ends with all its streams',
+    name: 'an answer without a length that is aborted half way',
+    symptom: 'an entry process that crashes with all its streams',
     seed: 1,
     plan: singleRequestCase('ask', {
       ...STREAM,
@@ -103,14 +103,14 @@
     }),
   },
   {
-    name: 'a stream without an event',
-    symptom: 'a success with a head that the HTTP library has made up',
+    name: 'a stream without events',
+    symptom: 'a success with a head that the HTTP library generated',
     seed: 1,
     plan: singleRequestCase('stream', { ...STREAM, size: 0 }),
   },
   {
-    name: 'an event that has lost its id, and a break behind it',
-    symptom: 'an event twice in a stream that goes on after the one before',
+    name: 'an event without its id, followed by a break of the connection',
+    symptom: 'an event that is repeated after the stream is resumed from the event before it',
     seed: 905_711,
     plan: {
       endpoints: 2,
--- a/fuzz/FuzzRender.ts
+++ b/fuzz/FuzzRender.ts
@@ -1,4 +1,4 @@
-/** Writes an endpoint's answer as bytes, with what is changed in it. Pure. */
+/** Renders an endpoint's answer as bytes and applies the changes of its script. Pure. */
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import { changeHead, headLine, type AnswerHeadText, type HeadLine } from './FuzzHead.js';
 import type {
@@ -11,21 +11,21 @@
   FuzzWrite,
 } from './FuzzTypes.js';
 
-/** What an arrival brings to its answer. */
+/** Values of an arrival that its answer depends on. */
 export interface RenderContext {
   readonly id: string;
-  /** Id of the request before it on the connection. */
+  /** Id of the previous request on the connection. */
   readonly previousId: string;
-  /** Names the answer apart from all others. */
+  /** Value of the seal header, unique to this answer. */
   readonly seal: string;
-  /** Event after which a stream goes on. */
+  /** Id of the event after which a stream is resumed; 0 for its start. */
   readonly lastEvent: number;
 }
 
-/** Bytes to write, and what follows them. */
+/** Bytes to write and how the connection ends after them. */
 export interface RenderedAnswer {
   readonly writes: readonly FuzzWrite[];
-  /** Written once the next request has come on the connection. */
+  /** Written once the next request is received on the connection. */
   readonly onNext: Buffer;
   readonly end: 'keep' | 'fin' | 'reset';
 }
@@ -35,10 +35,10 @@
   readonly text: string;
 }
 
-/** Pause before an answer that comes shortly after another, ms. */
+/** Pause before an extra answer that is sent soon after the proper one, ms. */
 const DELAYED_EXTRA_MS = 2;
 
-/** How long endpoints that refuse want to rest, s. */
+/** Backoff that endpoints ask for in a refusal, s. */
 const RETRY_AFTER_S = '0.02';
 
 function bodyOf(kind: FuzzAnswerKind, size: number, { id, lastEvent }: RenderContext): Segment[] {
@@ -118,7 +118,7 @@
   return [...chunks, { region: 'size', text: '0\r\n' }, { region: null, text: '\r\n' }];
 }
 
-/** Places of a region's bytes; all of a body's where the answer has none of that region. */
+/** Offsets of the bytes in a region; the events of a stream also belong to the region `body`. */
 function positionsOf(segments: readonly Segment[], region: FuzzRegion): readonly number[] {
   let at = 0;
   return segments.flatMap((segment) => {
@@ -143,17 +143,17 @@
   drop: (text, at, value) => text.slice(0, at) + text.slice(at + value),
 };
 
-/** Makes the edits from the last place on, so that none moves another. */
+/** Applies the edits from the last offset to the first, so that none moves the offset of another. */
 function editText(segments: readonly Segment[], edits: readonly FuzzEdit[]): string {
   const text = segments.map((segment) => segment.text).join('');
   const positionedEdits = edits.flatMap(({ kind, region, at, value }) => {
     const positions = positionsOf(segments, region);
     const position = positions[Math.floor(at * positions.length)];
-    return position === undefined ? [] : [{ kind, place: position, value }];
+    return position === undefined ? [] : [{ kind, position, value }];
   });
   return [...positionedEdits]
-    .sort((a, b) => b.place - a.place)
-    .reduce((changed, { kind, place, value }) => EDITS[kind](changed, place, value), text);
+    .sort((a, b) => b.position - a.position)
+    .reduce((changed, { kind, position, value }) => EDITS[kind](changed, position, value), text);
 }
 
 const EXTRA_SIZE = 12;
@@ -169,7 +169,7 @@
   return [...headSegments(changed), ...parts].map(({ text }) => text).join('');
 }
 
-/** A text in the pieces in which it is written. */
+/** Splits a text into writes; `splits` are fractions of its length. */
 export function splitText(text: string, splits: readonly number[], pauseMs: number): FuzzWrite[] {
   const positions = splits.map((at) => Math.floor(at * text.length)).sort((a, b) => a - b);
   const bounds = [0, ...positions, text.length];
@@ -187,7 +187,7 @@
   return end === 'keep' && framing === 'close' ? 'fin' : end;
 }
 
-/** An answer as it is written for one arrival. */
+/** Renders the answer to one arrival. */
 export function renderAnswer(answer: FuzzAnswer, ctx: RenderContext): RenderedAnswer {
   const { kind, framing, size, cut, extras, splits, pauseMs } = answer;
   if (kind === 'drop') {
