--- a/fuzz/FuzzRun.ts
+++ b/fuzz/FuzzRun.ts
@@ -1,4 +1,4 @@
-/** Plays cases against the real code, some side by side, and shrinks those that fail. */
+/** Runs cases against the real entry, several concurrently, and shrinks those that fail. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { callerRequestOf, runCaller } from './FuzzCaller.js';
 import { FuzzEndpoints } from './FuzzEndpoint.js';
@@ -8,7 +8,7 @@
 import { shrinkCase } from './FuzzShrink.js';
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
-/** What arrivals beyond a request's script get. */
+/** Answer to arrivals for which a request has no scripted answer. */
 const VALID_ANSWER: FuzzAnswer = {
   kind: 'plain',
   framing: 'length',
@@ -22,7 +22,7 @@
   end: 'keep',
 };
 
-/** Ids of a case's requests, eight hexadecimal digits. */
+/** Id of the request at index `i` of a case, eight hexadecimal digits. */
 function requestIdOf(seed: number, i: number): string {
   const mixed = Math.imul(seed * 8 + i + 1, 0x9e3779b1);
   // eslint-disable-next-line no-bitwise
@@ -34,7 +34,7 @@
   return answers[nth] ?? { ...VALID_ANSWER, kind };
 }
 
-/** Plays one case to its end. */
+/** Runs one case with a new entry and new endpoints, and judges it. */
 export async function runCase(plan: FuzzCase, seed: number): Promise<FuzzVerdict> {
   const requests = plan.requests.map((request, i) =>
     callerRequestOf(request, requestIdOf(seed, i)),
@@ -61,49 +61,49 @@
   }
 }
 
-/** A case that broke a promise, as small as it could be made. */
+/** A case that violated a guarantee, shrunk, or one that ran when an exception was not caught. */
 export interface FuzzFailure {
   readonly seed: number;
   readonly findings: readonly string[];
   readonly plan: FuzzCase;
 }
 
-/** What a run has shown. */
+/** Result of a run. */
 export interface FuzzResult {
   readonly cases: number;
   readonly outcomes: Readonly<Record<FuzzOutcome, number>>;
   readonly failures: readonly FuzzFailure[];
-  /** Kinds of resources of this process that the run has left behind. */
+  /** Resources of this process that the run has not released: their number and kind. */
   readonly leaks: readonly string[];
 }
 
-/** Size of a run. */
+/** Parameters of a run. */
 export interface FuzzOptions {
-  /** Seed of the first case; the others follow. */
+  /** Seed of the first case; the others have the following numbers. */
   readonly seed: number;
   readonly cases: number;
-  /** Cases played at once. */
+  /** Number of cases that run concurrently. */
   readonly jobs: number;
-  /** The run ends with so many failures. */
+  /** Number of failures after which no more cases are started. */
   readonly maxFailures: number;
 }
 
-/** Probes of endpoints end by themselves within this time, ms. */
+/** Time for resources to be released after a run, ms; probes of endpoints end within it. */
 const SETTLE_MS = 1_000;
 
-/** How often a run's remains are counted until they are gone, ms. */
+/** Interval at which the remaining resources are counted, ms. */
 const SETTLE_POLL_MS = 50;
 
 const RESOURCES = ['TCPSocketWrap', 'TCPServerWrap', 'TCPConnectWrap', 'Timeout', 'Immediate'];
 
 function countResources(): ReadonlyMap<string, number> {
-  // Only this tool, never a process of ours, depends on it.
+  // The API is experimental; only this tool uses it, no process of the product.
   // eslint-disable-next-line n/no-unsupported-features/node-builtins
   const active = process.getActiveResourcesInfo();
   return new Map(RESOURCES.map((kind) => [kind, active.filter((one) => one === kind).length]));
 }
 
-/** Resources beyond those of before, once they have had time to end. */
+/** Resources in excess of those before the run, after they have had time to be released. */
 async function findLeaks(before: ReadonlyMap<string, number>): Promise<readonly string[]> {
   const until = performance.now() + SETTLE_MS;
   for (;;) {
@@ -157,7 +157,7 @@
   };
   await Promise.all(Array.from({ length: jobs }, runWorker));
   const shrunk: FuzzFailure[] = [];
-  // eslint-disable-next-line no-restricted-syntax -- one at a time: what is rare needs a machine at rest
+  // eslint-disable-next-line no-restricted-syntax -- one at a time: rare failures need an idle machine to be reproduced
   for (const failure of failures) {
     // eslint-disable-next-line no-await-in-loop
     shrunk.push(await shrinkFailure(failure));
@@ -165,7 +165,7 @@
   return { cases: startedCount, outcomes, failures: [...shrunk, ...uncaught] };
 }
 
-/** Plays a run. */
+/** Runs cases and looks for leaked resources. */
 export async function runFuzz(options: FuzzOptions): Promise<FuzzResult> {
   const before = countResources();
   const runningSeeds = new Set<number>();
--- a/fuzz/FuzzShrink.ts
+++ b/fuzz/FuzzShrink.ts
@@ -1,7 +1,7 @@
-/** Makes a failing case smaller, one simplification at a time. */
+/** Shrinks a failing case by one simplification at a time. */
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
-/** Tries at most: each plays a case. */
+/** Maximum number of attempts; each runs a case. */
 const MAX_TRIES = 60;
 
 function without<T>(items: readonly T[], i: number): readonly T[] {
@@ -43,7 +43,7 @@
   ];
 }
 
-/** Cases with one thing less. */
+/** Cases with one simplification each. */
 export function smallerCases(plan: FuzzCase): readonly FuzzCase[] {
   const { requests, endpoints } = plan;
   return [
@@ -60,7 +60,7 @@
   ];
 }
 
-/** The smallest case found that still fails. */
+/** Returns the smallest case found that still fails. */
 export async function shrinkCase(
   plan: FuzzCase,
   fails: (smaller: FuzzCase) => Promise<boolean>,
--- a/fuzz/FuzzStreams.ts
+++ b/fuzz/FuzzStreams.ts
@@ -1,14 +1,14 @@
-/** Whether a stream that a caller got is made of whole events of its endpoints, in order and none twice. */
+/** Checks that a stream received by a caller consists of complete events of endpoints, in order and without repeats. */
 import type { ReadAnswer } from './FuzzReader.js';
 
-/** What one attempt's endpoint sent of a stream. */
+/** Part of a stream that the endpoint of one attempt sent. */
 export interface FuzzStreamPart {
-  /** Event after which the endpoint was told to go on; null for the begin. */
+  /** Last-Event-Id of the request to the endpoint; null if it had none. */
   readonly resumedAfter: string | null;
   readonly answer: ReadAnswer;
 }
 
-/** What a caller got of a stream. */
+/** Stream as a caller received it. */
 export interface FuzzReceivedStream {
   readonly body: Buffer;
   readonly isComplete: boolean;
@@ -18,7 +18,7 @@
 
 const ID_LINE = /^id(?:: ?(.*))?$/;
 
-/** Places behind each whole event of a body, and its begin. */
+/** Offset 0 and the offset after each complete event of a body. */
 export function eventEnds(body: Buffer): readonly number[] {
   const ends = [0];
   let at = body.indexOf(EVENT_END);
@@ -29,7 +29,7 @@
   return ends;
 }
 
-/** Id of the last of some whole events; null where it has none, or more than one. */
+/** Id of the last of some complete events; null if it has no id or more than one. */
 export function lastEventIdOf(events: Buffer): string | null {
   const ends = eventEnds(events);
   const last = events.subarray(ends.at(-2) ?? 0).toString('latin1');
@@ -40,21 +40,21 @@
   return ids.length === 1 ? (ids[0] ?? null) : null;
 }
 
-/** What is to be explained, and by what. */
+/** A received stream and the parts from which it is to be assembled. */
 interface StreamMatch {
   readonly parts: readonly FuzzStreamPart[];
   readonly got: FuzzReceivedStream;
   readonly hasSameHead: (answer: ReadAnswer) => boolean;
 }
 
-/** Where the search stands: parts and bytes that are used up, and the event after which the next part goes on. */
+/** State of the search: number of parts and bytes that are used, and the id after which the next part resumes. */
 interface SearchPosition {
   readonly part: number;
   readonly at: number;
   readonly lastEvent: string | null;
 }
 
-/** Whether the rest of what a caller got is made of the rest of the parts. */
+/** Whether the remaining bytes can be assembled from the remaining parts. */
 function canAssemble(match: StreamMatch, { part: from, at, lastEvent }: SearchPosition): boolean {
   const { parts, got, hasSameHead } = match;
   const rest = got.body.subarray(at);
@@ -80,9 +80,9 @@
 }
 
 /**
- * Whether attempts explain what a caller got: a beginning of each that ends with an event, each next one told to go
- * on after it, and a whole stream only where the last attempt's is whole and was taken to its end. The first one's
- * head is that of the stream.
+ * Whether a received stream can be assembled from the parts that attempts sent. Each part contributes bytes from its
+ * start to the end of an event, and the next one must have been requested after the last of these events. The head
+ * must be that of the first part. A complete stream must end with the end of a complete part.
  */
 export function canAssembleStream(
   parts: readonly FuzzStreamPart[],
--- a/fuzz/FuzzTypes.ts
+++ b/fuzz/FuzzTypes.ts
@@ -1,33 +1,36 @@
-/** What a case is made of: plain data, so that it can be printed, shrunk and kept. */
+/** Data of a case, which can be printed as JSON, shrunk, and kept as a regression. */
 
-/** Routes of the entry under test; the name tells what its requests may do. */
+/**
+ * Routes of the entry under test: `ask` is idempotent and `hold` isn't; `stream` is a resumable stream and `fixed` one
+ * that can't be resumed.
+ */
 export type FuzzRoute = 'ask' | 'hold' | 'stream' | 'fixed';
 
-/** Routes whose requests may run once only. */
+/** Routes whose requests must not run more than once. */
 export const NON_REPEATABLE_ROUTES: ReadonlySet<FuzzRoute> = new Set(['hold', 'fixed']);
 
-/** Routes that are answered by events. */
+/** Routes whose answers are streams of events. */
 export const STREAM_ROUTES: ReadonlySet<FuzzRoute> = new Set(['stream', 'fixed']);
 
-/** What an endpoint makes of a request, before anything is changed; a `drop` ends the connection without a run. */
+/** Kind of an endpoint's answer before any change; a `drop` ends the connection without running the request. */
 export type FuzzAnswerKind = 'plain' | 'stream' | 'failure' | 'refusal' | 'drop';
 
-/** How an answer's body is framed. */
+/** How an answer's body is framed; `close` ends it with its connection. */
 export type FuzzFraming = 'length' | 'chunked' | 'close';
 
-/** Part of an answer's bytes that a change is aimed at. */
+/** Part of an answer's bytes that an edit applies to; `size` is that of a chunk. */
 export type FuzzRegion = 'status' | 'name' | 'value' | 'size' | 'event' | 'body';
 
-/** A change of bytes; `at` is the place in all bytes of its region, from 0 to 1. */
+/** An edit of bytes; `at` is the position as a fraction of all bytes of its region, from 0 to 1. */
 export interface FuzzEdit {
   readonly kind: 'flip' | 'insert' | 'double' | 'drop';
   readonly region: FuzzRegion;
   readonly at: number;
-  /** Mask of a flip, byte to insert, or how many bytes are doubled or dropped. */
+  /** Mask of a flip, byte to insert, or number of bytes that are doubled or dropped. */
   readonly value: number;
 }
 
-/** A change of the head's lines, by name. */
+/** Names of changes to the head; FuzzHead.ts defines what each does. */
 export type FuzzHeadChange =
   | 'noSeal'
   | 'emptySeal'
@@ -67,54 +70,54 @@
   | 'plainType'
   | 'eventType';
 
-/** How an answer breaks off: at a place of all its bytes, from 0 to 1. */
+/** A cut of an answer at a fraction of its bytes, from 0 to 1; after a `stall` the connection stays open. */
 export interface FuzzCut {
   readonly at: number;
   readonly by: 'fin' | 'reset' | 'stall';
 }
 
-/** Answer that nobody has asked for, behind the proper one. */
+/** Unsolicited answer after the proper one. */
 export interface FuzzExtra {
-  /** With the proper one, shortly after it, or once the next request has come on its connection. */
+  /** Together with the proper one, shortly after it, or once the next request is received on the connection. */
   readonly when: 'same' | 'soon' | 'next';
-  /** Whose id it bears: that of the request before it, of the one before that, or none. */
+  /** Its id: that of the answered request, that of the previous request on the connection, or none. */
   readonly id: 'same' | 'earlier' | 'none';
   readonly kind: Exclude<FuzzAnswerKind, 'drop'>;
 }
 
-/** An endpoint's answer to one arrival of a request. */
+/** Script of an endpoint's answer to one arrival of a request. */
 export interface FuzzAnswer {
   readonly kind: FuzzAnswerKind;
   readonly framing: FuzzFraming;
-  /** Bytes of a plain body, or events of a whole stream. */
+  /** Bytes of a body, or events of a complete stream. */
   readonly size: number;
   readonly head: readonly FuzzHeadChange[];
   readonly edits: readonly FuzzEdit[];
   readonly cut: FuzzCut | null;
   readonly extras: readonly FuzzExtra[];
-  /** Places at which the bytes are written apart, from 0 to 1, and the pause there. */
+  /** Fractions from 0 to 1 at which the bytes are split into several writes, with `pauseMs` between them. */
   readonly splits: readonly number[];
   readonly pauseMs: number;
-  /** How the endpoint ends its connection behind a whole answer. */
+  /** How the endpoint ends its connection after an answer without a cut. */
   readonly end: 'keep' | 'fin' | 'reset';
 }
 
-/** A caller's request, and what endpoints answer to its arrivals in turn. */
+/** A caller's request and the answers of endpoints to its arrivals, in order. */
 export interface FuzzRequest {
   readonly route: FuzzRoute;
-  /** Bytes of its body; 0 for none. */
+  /** Size of its body in bytes; 0 for none. */
   readonly size: number;
   readonly isChunked: boolean;
   readonly splits: readonly number[];
   readonly pauseMs: number;
-  /** Event after which a stream is to go on; null for its begin. */
+  /** Last-Event-Id that the request sends; null for none. */
   readonly lastEvent: number | null;
-  /** Whether it is sent before the answer to the one before it has come. */
+  /** Whether it is sent without waiting for the answer to the previous request. */
   readonly isPipelined: boolean;
   readonly answers: readonly FuzzAnswer[];
 }
 
-/** What is played between one caller and the endpoints of one entry. */
+/** Requests of one caller through one entry to a number of endpoints. */
 export interface FuzzCase {
   readonly endpoints: number;
   readonly requests: readonly FuzzRequest[];
--- a/fuzz/__tests__/unit/FuzzOracle.test.ts
+++ b/fuzz/__tests__/unit/FuzzOracle.test.ts
@@ -29,12 +29,12 @@
 const OWN_BODY = '{"error":{"code":"no_endpoint"}}';
 const OWN = `HTTP/1.1 503 Unavailable\r\nContent-Length: ${OWN_BODY.length}\r\n\r\n${OWN_BODY}`;
 
-/** Something seen on a connection, and how that ended. */
+/** Bytes sent on a connection and how it ended; `open` by default. */
 type ConnectionData = readonly [string, ConnectionEnd?];
 
 interface Sample {
   readonly route?: FuzzRoute;
-  /** What endpoints sent, one arrival each; they run it unless it's said. */
+  /** Data that endpoints sent, one item for each arrival; `runs` applies to all and is true by default. */
   readonly sent: readonly ConnectionData[];
   readonly got: ConnectionData;
   readonly runs?: boolean;
@@ -81,39 +81,39 @@
 
 const ALLOWED_SAMPLES: Readonly<Record<string, Sample>> = {
   'a whole answer': { sent: [[PLAIN]], got: [PLAIN] },
-  'a connection that breaks off': { sent: [[PLAIN]], got: ['HTTP/1.1 200', 'reset'] },
+  'a connection that is reset': { sent: [[PLAIN]], got: ['HTTP/1.1 200', 'reset'] },
   'a stream in other chunks': {
     sent: [[CHUNKS + chunk(EVENT_1) + chunk(EVENT_2) + LAST_CHUNK]],
     got: [CHUNKS + chunk(EVENT_1 + EVENT_2) + LAST_CHUNK],
   },
-  'a stream cut behind an event': {
+  'a stream cut after an event': {
     sent: [[CHUNKS + chunk(EVENT_1), 'reset']],
     got: [CHUNKS + chunk(EVENT_1), 'fin'],
   },
-  'a stream that goes on elsewhere': {
+  'a stream that is resumed at another endpoint': {
     ...RESUMED,
     got: [CHUNKS + chunk(EVENT_1) + chunk(EVENT_2) + LAST_CHUNK],
   },
-  'a refusal of what was refused': { sent: [[REFUSED]], got: [OWN], runs: false },
+  'a not-run answer to a refused request': { sent: [[REFUSED]], got: [OWN], runs: false },
 };
 
 const VIOLATION_SAMPLES: Readonly<Record<string, Sample>> = {
   'no seal': { sent: [[PLAIN]], got: [PLAIN.replace(`${SEAL}: s1\r\n`, '')] },
-  'the head that a library makes up': {
+  'a head that the HTTP library generated': {
     sent: [[CHUNKS + LAST_CHUNK]],
     got: [`HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n${LAST_CHUNK}`],
   },
   'another request’s answer': { sent: [[PLAIN]], got: [PLAIN.replace(ID, '0000000b')] },
   'another body': { sent: [[PLAIN]], got: [PLAIN.replace('hello', 'hullo')] },
-  'half an answer as a whole one': {
+  'half an answer as a complete one': {
     sent: [[PLAIN.slice(0, -2), 'fin']],
     got: [PLAIN.replace('hello', 'hel').replace(': 5', ': 3')],
   },
-  'a body that was reset as a whole one': {
+  'a body that was reset as a complete one': {
     sent: [[`${HEAD}${SEAL}: s1\r\n\r\nhello`, 'reset']],
     got: [PLAIN],
   },
-  'a success that the endpoint said was a failure': {
+  'a success where the endpoint sent a failure': {
     sent: [[PLAIN.replace('200', '500')]],
     got: [PLAIN],
   },
@@ -129,24 +129,28 @@
     ...RESUMED,
     got: [CHUNKS + chunk(EVENT_1 + EVENT_1 + EVENT_2) + LAST_CHUNK],
   },
-  'a cut stream as a whole one': {
+  'a cut stream as a complete one': {
     sent: [[CHUNKS + chunk(EVENT_1), 'reset']],
     got: [CHUNKS + chunk(EVENT_1) + LAST_CHUNK],
   },
-  'a refusal of what has run': { sent: [[PLAIN]], got: [OWN] },
-  'two runs of what may run once': { route: 'hold', sent: [[PLAIN], [PLAIN]], got: [PLAIN] },
-  'bytes behind an answer': { sent: [[PLAIN]], got: [`${PLAIN}x`] },
-  'an answer too many': { sent: [[PLAIN]], got: [PLAIN + PLAIN] },
+  'a not-run answer to a request that has run': { sent: [[PLAIN]], got: [OWN] },
+  'two runs of a request that may run once': {
+    route: 'hold',
+    sent: [[PLAIN], [PLAIN]],
+    got: [PLAIN],
+  },
+  'bytes after an answer': { sent: [[PLAIN]], got: [`${PLAIN}x`] },
+  'a surplus answer': { sent: [[PLAIN]], got: [PLAIN + PLAIN] },
   'no answer': { sent: [[PLAIN]], got: [''] },
 };
 
 describe('FuzzOracle', () => {
-  // Guards against: an oracle that finds fault with what is allowed.
+  // The oracle must not report allowed behaviour as a violation.
   Object.entries(ALLOWED_SAMPLES).forEach(([name, sample]) => {
     it(`allows ${name}`, () => assert.deepEqual(judgeCase(observationOf(sample)).findings, []));
   });
 
-  // Guards against: an oracle that lets a broken promise pass.
+  // The oracle must not miss a violated guarantee.
   Object.entries(VIOLATION_SAMPLES).forEach(([name, sample]) => {
     it(`finds ${name}`, () => assert.notDeepEqual(judgeCase(observationOf(sample)).findings, []));
   });
--- a/fuzz/__tests__/unit/FuzzReader.test.ts
+++ b/fuzz/__tests__/unit/FuzzReader.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { readConnection, type ConnectionEnd } from '../../FuzzReader.js';
 
-/** Number of answers, what the last one is, and the fault. */
+/** Number of answers, values of the last one, and whether there is a syntax error. */
 function summary(text: string, end: ConnectionEnd): object {
   const { answers, fault } = readConnection(Buffer.from(text, 'latin1'), end);
   const last = answers.at(-1);
@@ -25,10 +25,10 @@
 const READABLE_ANSWERS: Readonly<Record<string, readonly [string, ConnectionEnd, object]>> = {
   'a length': [HELLO, 'open', complete],
   'a length that is not reached': [HELLO.slice(0, -1), 'fin', { ...incomplete, body: 'hell' }],
-  'bytes behind a length': [`${HELLO}x`, 'open', { ...complete, isFaulty: true }],
+  'bytes after a length': [`${HELLO}x`, 'open', { ...complete, isFaulty: true }],
   'two answers': [HELLO + HELLO, 'open', { ...complete, answers: 2 }],
   chunks: [`${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n`, 'open', complete],
-  'chunks without the last': [
+  'chunks without the last one': [
     `${OK}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n`,
     'fin',
     incomplete,
@@ -39,8 +39,8 @@
     { ...incomplete, body: 'hell', isFaulty: true },
   ],
   'a body that ends with its connection': [`${OK}\r\nhello`, 'fin', complete],
-  'such a body on an open connection': [`${OK}\r\nhello`, 'open', incomplete],
-  'such a body that is reset': [`${OK}\r\nhello`, 'reset', incomplete],
+  'a body without a length on an open connection': [`${OK}\r\nhello`, 'open', incomplete],
+  'a body without a length that is reset': [`${OK}\r\nhello`, 'reset', incomplete],
   'a status without a body': [
     'HTTP/1.1 204 None\r\n\r\n',
     'open',
@@ -48,7 +48,7 @@
   ],
 };
 
-/** What is no answer. */
+/** Bytes that aren't a valid answer. */
 const MALFORMED_ANSWERS: Readonly<Record<string, string>> = {
   'other bytes': 'hello',
   'a status of two digits': 'HTTP/1.1 20 OK\r\n\r\n',
@@ -64,14 +64,14 @@
 };
 
 describe('FuzzReader', () => {
-  // Guards against: an oracle that takes half an answer for a whole one, or two for one.
+  // Otherwise the oracle would take half an answer for a complete one, or two answers for one.
   Object.entries(READABLE_ANSWERS).forEach(([name, [text, end, expected]]) => {
     it(`reads ${name}`, () => assert.deepEqual(summary(text, end), expected));
   });
 
-  // Guards against: an oracle as lenient as the library under test.
+  // A parser as lenient as the library under test would not detect what that library accepts by mistake.
   Object.entries(MALFORMED_ANSWERS).forEach(([name, text]) => {
-    it(`finds fault with ${name}`, () => {
+    it(`rejects ${name}`, () => {
       assert.notEqual(readConnection(Buffer.from(text, 'latin1'), 'open').fault, null);
     });
   });
--- a/fuzz/__tests__/unit/FuzzRun.test.ts
+++ b/fuzz/__tests__/unit/FuzzRun.test.ts
@@ -4,20 +4,20 @@
 import { REGRESSIONS } from '../../FuzzRegressions.js';
 import { runCase, runFuzz } from '../../FuzzRun.js';
 
-/** Case that a run begins with, how many follow, and how many are played at once. */
+/** First seed, number of cases and number of concurrent cases of the run. */
 const RUN = { seed: 1, cases: 1_200, jobs: 16, maxFailures: 3 } as const;
 
-/** Of all requests of a run, at least this share is answered whole: else the run shows little. */
+/** Minimum share of requests with a complete success; with fewer, the run tests little of the path of a request. */
 const MIN_COMPLETE_SHARE = 0.25;
 
 describe('a fuzz run', () => {
-  it('has the same case for the same seed, and another for another', () => {
+  it('generates the same case for the same seed and another case for another seed', () => {
     assert.deepEqual(drawCase(1), drawCase(1));
     assert.notDeepEqual(drawCase(1), drawCase(2));
   });
 
-  // Guards against: an answer that an endpoint didn't give to this request, and what a run leaves behind.
-  it('breaks no promise and leaves nothing behind', async () => {
+  // Callers must get no answer that an endpoint didn't give to their request, and the run must leak no resources.
+  it('violates no guarantee and leaks no resources', async () => {
     const { failures, leaks, outcomes } = await runFuzz(RUN);
     const requests = Object.values(outcomes).reduce((sum, count) => sum + count, 0);
     assert.deepEqual(failures, []);
@@ -26,7 +26,7 @@
   });
 
   REGRESSIONS.forEach(({ name, symptom, seed, plan }) => {
-    it(`keeps its promises with ${name}`, async () => {
+    it(`violates no guarantee with ${name}`, async () => {
       const { findings } = await runCase(plan, seed);
       assert.deepEqual(findings, [], symptom);
     });
