--- a/fakes/__tests__/unit/MapCommit.test.ts
+++ b/fakes/__tests__/unit/MapCommit.test.ts
@@ -19,7 +19,7 @@
 const LOAD = [[1, 1, 1]];
 
 interface Packet {
-  readonly who: number;
+  readonly coordinator: number;
   readonly rank: number;
   readonly order: RankOrder;
 }
@@ -30,51 +30,54 @@
 
   orders: Packet[] = [];
 
-  answers: { readonly who: number; readonly input: MapCommitInput }[] = [];
+  answers: { readonly coordinator: number; readonly input: MapCommitInput }[] = [];
 
   now = 0;
 
   readonly #states: MapCommitState[] = [initMapCommit(RANKS), initMapCommit(RANKS)];
 
-  phase(who: number): string {
-    return this.#states[who]?.phase ?? '';
+  phase(coordinator: number): string {
+    return this.#states[coordinator]?.phase ?? '';
   }
 
-  input(who: number, input: MapCommitInput): void {
-    const state = this.#states[who] ?? initMapCommit(RANKS);
+  input(coordinator: number, input: MapCommitInput): void {
+    const state = this.#states[coordinator] ?? initMapCommit(RANKS);
     const step = stepMapCommit(state, input, this.now);
-    this.#states[who] = step.state;
+    this.#states[coordinator] = step.state;
     step.outputs.forEach((output) => {
       if (output.type === 'order') {
-        this.orders.push({ who, rank: output.rank, order: output.order });
+        this.orders.push({ coordinator, rank: output.rank, order: output.order });
       }
     });
   }
 
   /** Applies an order at its rank and queues the answer. */
-  deliver({ who, rank, order }: Packet): void {
+  deliver({ coordinator, rank, order }: Packet): void {
     const sent: FakeRankOrder =
       order.kind === 'prepare' ? { ...order, kind: 'prepare', map: MAP } : (order as FakeRankOrder);
     const status = this.group.applyOrder(rank, sent);
     const { accepted } = status;
     const { kind, token } = order;
-    this.answers.push({ who, input: { type: 'answer', rank, token, kind, accepted, status } });
+    this.answers.push({
+      coordinator,
+      input: { type: 'answer', rank, token, kind, accepted, status },
+    });
   }
 
-  /** Runs without faults until a coordinator is ready, for at most 400 rounds. */
-  runUntilReady(who: number): void {
-    for (let i = 0; i < 400 && this.phase(who) !== 'ready'; i += 1) {
+  /** Runs without faults until a coordinator is ready; fails after 400 rounds. */
+  runUntilReady(coordinator: number): void {
+    for (let i = 0; i < 400 && this.phase(coordinator) !== 'ready'; i += 1) {
       this.now += 250;
-      this.input(who, { type: 'tick' });
+      this.input(coordinator, { type: 'tick' });
       const { orders } = this;
       this.orders = [];
       orders.forEach((packet) => this.deliver(packet));
       const { answers } = this;
       this.answers = [];
-      answers.forEach((answer) => this.input(answer.who, answer.input));
+      answers.forEach((answer) => this.input(answer.coordinator, answer.input));
       this.group.runStep(LOAD);
     }
-    assert.equal(this.phase(who), 'ready');
+    assert.equal(this.phase(coordinator), 'ready');
   }
 }
 
@@ -91,7 +94,7 @@
   ...Array.from({ length: 3 }, () => (simulation: Simulation, n: number) => {
     const answer = itemAt(simulation.answers, n);
     if (answer !== undefined) {
-      simulation.input(answer.who, answer.input);
+      simulation.input(answer.coordinator, answer.input);
     }
   }),
   (simulation, n) => simulation.input(n % 2, { type: 'propose' }),
--- a/fakes/__tests__/unit/MapSwitch.test.ts
+++ b/fakes/__tests__/unit/MapSwitch.test.ts
@@ -28,22 +28,22 @@
   readonly order: EngineOrder;
 }
 
-/** Event of a schedule; `who` and `at` select among the existing coordinators and orders, modulo their number. */
+/** Event of a schedule; `coordinatorIndex` and `at` select a coordinator and an order, modulo their number. */
 type Event =
   | { readonly kind: 'pass' }
-  | { readonly kind: 'report'; readonly who: number; readonly rank: number }
+  | { readonly kind: 'report'; readonly coordinatorIndex: number; readonly rank: number }
   | { readonly kind: 'deliver'; readonly at: number; readonly answered: boolean }
   | { readonly kind: 'late'; readonly at: number }
-  | { readonly kind: 'propose'; readonly who: number }
+  | { readonly kind: 'propose'; readonly coordinatorIndex: number }
   | { readonly kind: 'replace' }
   /** The newest coordinator's lease expires and is granted to it again with the same token. */
   | { readonly kind: 'regain' }
   | { readonly kind: 'reform' }
-  | { readonly kind: 'tick'; readonly who: number }
+  | { readonly kind: 'tick'; readonly coordinatorIndex: number }
   /** A coordinator gets reports and sends orders; bits select the ranks that report and the orders that are answered. */
   | {
       readonly kind: 'round';
-      readonly who: number;
+      readonly coordinatorIndex: number;
       readonly reportedMask: number;
       readonly answeredMask: number;
     };
@@ -71,7 +71,7 @@
 
   #proposedMaps = 0;
 
-  changed = 0;
+  changeCount = 0;
 
   constructor() {
     this.#grantLease(0);
@@ -82,14 +82,16 @@
     const handlers: { readonly [K in Event['kind']]: (item: Extract<Event, { kind: K }>) => void } =
       {
         pass: () => this.group.runPass(),
-        report: ({ who, rank }) => this.#deliverReport(this.#coordinatorAt(who), rank % RANKS),
+        report: ({ coordinatorIndex, rank }) =>
+          this.#deliverReport(this.#coordinatorAt(coordinatorIndex), rank % RANKS),
         deliver: ({ at, answered }) => this.#deliver(at, answered),
         late: ({ at }) => this.#executeLateOrder(at),
-        propose: ({ who }) => this.#propose(this.#coordinatorAt(who)),
+        propose: ({ coordinatorIndex }) => this.#propose(this.#coordinatorAt(coordinatorIndex)),
         replace: () => this.#grantLease(this.#token % 2),
         regain: () => this.#regrantLease(),
         reform: () => this.group.restart(),
-        tick: ({ who }) => this.#input(this.#coordinatorAt(who), { type: 'tick' }),
+        tick: ({ coordinatorIndex }) =>
+          this.#input(this.#coordinatorAt(coordinatorIndex), { type: 'tick' }),
         round: (round) => this.#round(round),
       };
     (handlers[event.kind] as (item: Event) => void)(event);
@@ -115,8 +117,12 @@
     }
   }
 
-  #round({ who, reportedMask, answeredMask }: Extract<Event, { kind: 'round' }>): void {
-    const coordinator = this.#coordinatorAt(who);
+  #round({
+    coordinatorIndex,
+    reportedMask,
+    answeredMask,
+  }: Extract<Event, { kind: 'round' }>): void {
+    const coordinator = this.#coordinatorAt(coordinatorIndex);
     this.#now += 150;
     for (let rank = 0; rank < RANKS; rank += 1) {
       if (Math.floor(reportedMask / 2 ** rank) % 2 === 1) {
@@ -133,8 +139,8 @@
     });
   }
 
-  #coordinatorAt(who: number): Coordinator {
-    return this.#coordinators[who % 2 === 0 ? 0 : 1];
+  #coordinatorAt(coordinatorIndex: number): Coordinator {
+    return this.#coordinators[coordinatorIndex % 2 === 0 ? 0 : 1];
   }
 
   #regrantLease(): void {
@@ -143,9 +149,9 @@
     this.#startLease(newest);
   }
 
-  #grantLease(who: number): void {
+  #grantLease(coordinatorIndex: number): void {
     this.#token += 1;
-    this.#startLease(this.#coordinatorAt(who));
+    this.#startLease(this.#coordinatorAt(coordinatorIndex));
   }
 
   #startLease(coordinator: Coordinator): void {
@@ -211,7 +217,7 @@
     if (output.type === 'order') {
       this.#pendingOrders.push({ from, rank: output.rank, order: output.order });
     } else if (output.type === 'changed') {
-      this.changed += 1;
+      this.changeCount += 1;
     } else if (output.type === 'reset') {
       this.#input(from, { type: 'mapInUse', map: this.group.map });
     }
@@ -222,7 +228,7 @@
 
 const ROUND: fc.Arbitrary<Event> = fc.record({
   kind: fc.constant('round' as const),
-  who: smallNumber,
+  coordinatorIndex: smallNumber,
   reportedMask: fc.constantFrom(7, 7, 7, 6, 5, 3),
   answeredMask: fc.nat({ max: 63 }),
 });
@@ -234,7 +240,7 @@
     weight: 12,
     arbitrary: fc.record({
       kind: fc.constant('report' as const),
-      who: smallNumber,
+      coordinatorIndex: smallNumber,
       rank: smallNumber,
     }),
   },
@@ -247,8 +253,14 @@
     }),
   },
   { weight: 8, arbitrary: fc.record({ kind: fc.constant('late' as const), at: smallNumber }) },
-  { weight: 8, arbitrary: fc.record({ kind: fc.constant('propose' as const), who: smallNumber }) },
-  { weight: 6, arbitrary: fc.record({ kind: fc.constant('tick' as const), who: smallNumber }) },
+  {
+    weight: 8,
+    arbitrary: fc.record({ kind: fc.constant('propose' as const), coordinatorIndex: smallNumber }),
+  },
+  {
+    weight: 6,
+    arbitrary: fc.record({ kind: fc.constant('tick' as const), coordinatorIndex: smallNumber }),
+  },
   { weight: 3, arbitrary: fc.constant<Event>({ kind: 'replace' }) },
   { weight: 3, arbitrary: fc.constant<Event>({ kind: 'regain' }) },
   { weight: 1, arbitrary: fc.constant<Event>({ kind: 'reform' }) },
@@ -261,10 +273,10 @@
   it('keeps changing maps after it is granted the same lease again', () => {
     const simulation = new Simulation();
     simulation.runWithoutFaults();
-    const { changed } = simulation;
+    const { changeCount } = simulation;
     simulation.applyEvent({ kind: 'regain' });
     simulation.runWithoutFaults();
-    assert.equal(simulation.changed, changed + 1);
+    assert.equal(simulation.changeCount, changeCount + 1);
   });
 
   // A coordinator assumes another map than the one a rank has, so the rank would have to copy more experts than
@@ -349,10 +361,10 @@
         const simulation = new Simulation();
         events.forEach((event) => simulation.applyEvent(event));
         const { step } = simulation.group;
-        const { changed } = simulation;
+        const { changeCount } = simulation;
         simulation.runWithoutFaults();
         assert.ok(simulation.group.step > step, 'the group runs no passes');
-        assert.ok(simulation.changed > changed, 'no change was completed');
+        assert.ok(simulation.changeCount > changeCount, 'no change was completed');
         assert.equal(new Set(simulation.group.versions).size, 1);
         assert.equal(simulation.group.mixedPasses, 0);
       }),
--- a/fuzz/FuzzOracle.ts
+++ b/fuzz/FuzzOracle.ts
@@ -90,7 +90,10 @@
   );
 }
 
-/** A success must be a complete answer of an endpoint to this request, or be recognizable as incomplete. */
+/**
+ * A success must equal a complete answer of an endpoint to this request, or be a stream made of the events of such
+ * answers, which may be incomplete.
+ */
 function judgeSuccess(
   request: FuzzCallerRequest,
   got: ReadAnswer,
@@ -173,17 +176,17 @@
   const { answers, fault } = readConnection(bytes, end);
   const interim = answers.filter(isInformational);
   const finals = answers.filter((answer) => !isInformational(answer));
-  const judged = requests.map((one, i) => {
+  const judged = requests.map((request, i) => {
     const got = finals[i];
     if (got === undefined) {
       const isMissing =
         end === 'open' && (hasTimedOut || finals.every(({ isComplete }) => isComplete));
       return isMissing
-        ? violation(`${one.id}: no answer`)
+        ? violation(`${request.id}: no answer`)
         : { outcome: 'broken' as const, finding: null };
     }
     const judge = got.status < 300 ? judgeSuccess : judgeFailure;
-    return judge(one, got, attemptsOf(one.id));
+    return judge(request, got, attemptsOf(request.id));
   });
   return [
     ...judged,
@@ -221,11 +224,13 @@
 export function judgeCase({ transcripts, arrivals, errorLines }: FuzzObservation): FuzzVerdict {
   const attempts = arrivals.map(attemptOf);
   const requestsById = new Map(
-    transcripts.flatMap((one) => one.requests).map((one) => [one.id, one]),
+    transcripts
+      .flatMap((transcript) => transcript.requests)
+      .map((request) => [request.id, request]),
   );
   const attemptsOf = (id: string): readonly Attempt[] =>
     attempts.filter(({ arrival }) => arrival.id === id);
-  const judged = transcripts.flatMap((one) => judgeConnection(one, attemptsOf));
+  const judged = transcripts.flatMap((transcript) => judgeConnection(transcript, attemptsOf));
   const findings = judged.flatMap(({ finding }) => (finding === null ? [] : [finding]));
   return {
     findings: [
--- a/fuzz/FuzzPlan.ts
+++ b/fuzz/FuzzPlan.ts
@@ -122,7 +122,7 @@
   };
 }
 
-/** Draws the faults of an answer; most have only one, so that they are processed far before one is detected. */
+/** Draws the faults of an answer; most answers have only one, so that the entry doesn't reject them early. */
 function drawFlaws(
   random: FuzzRandom,
 ): Pick<FuzzAnswer, 'head' | 'edits' | 'cut' | 'extras'> & { end: FuzzAnswer['end'] } {
--- a/fuzz/FuzzReader.ts
+++ b/fuzz/FuzzReader.ts
@@ -70,7 +70,7 @@
   name: string,
 ): readonly string[] {
   const wanted = name.toLowerCase();
-  return headers.filter(([own]) => own === wanted).map(([, value]) => value);
+  return headers.filter(([headerName]) => headerName === wanted).map(([, value]) => value);
 }
 
 /** Whether an answer is informational (1xx), so that a final one follows. */
--- a/fuzz/FuzzRender.ts
+++ b/fuzz/FuzzRender.ts
@@ -79,14 +79,14 @@
   { id, seal }: RenderContext,
 ): AnswerHeadText {
   const type = kind === 'stream' ? 'text/event-stream' : 'application/octet-stream';
-  const own =
+  const kindLines =
     kind === 'refusal'
       ? [headLine(WIRE_NAMES.notRun, '1'), headLine('Retry-After', RETRY_AFTER_S)]
       : [headLine(WIRE_NAMES.seal, seal)];
   const lines = [
     headLine(WIRE_NAMES.id, id),
     headLine('Content-Type', type),
-    ...own,
+    ...kindLines,
     framingLine(framing, length),
   ];
   return { interimText: '', protocol: 'HTTP/1.1', status: STATUS[kind], lines };
@@ -161,10 +161,10 @@
 function renderExtra({ id, kind }: FuzzExtra, ctx: RenderContext): string {
   const seal = `${ctx.seal}.extra`;
   const ids = { same: ctx.id, earlier: ctx.previousId, none: ctx.id };
-  const own = { ...ctx, id: ids[id], seal, lastEvent: 0 };
-  const parts = bodyOf(kind, kind === 'stream' ? 2 : EXTRA_SIZE, own);
+  const extraCtx = { ...ctx, id: ids[id], seal, lastEvent: 0 };
+  const parts = bodyOf(kind, kind === 'stream' ? 2 : EXTRA_SIZE, extraCtx);
   const length = parts.reduce((sum, { text }) => sum + text.length, 0);
-  const head = headOf(kind, 'length', length, own);
+  const head = headOf(kind, 'length', length, extraCtx);
   const changed = id === 'none' ? changeHead(head, ['noId']) : head;
   return [...headSegments(changed), ...parts].map(({ text }) => text).join('');
 }
--- a/fuzz/FuzzRun.ts
+++ b/fuzz/FuzzRun.ts
@@ -41,8 +41,8 @@
   );
   const plans = new Map(requests.map((request) => [request.id, request.plan]));
   const endpoints = new FuzzEndpoints((id, nth) => {
-    const own = plans.get(id);
-    return own === undefined ? VALID_ANSWER : answerOf(own, nth);
+    const request = plans.get(id);
+    return request === undefined ? VALID_ANSWER : answerOf(request, nth);
   });
   const ports = await Promise.all(
     Array.from({ length: plan.endpoints }, async () => endpoints.listen()),
@@ -61,7 +61,7 @@
   }
 }
 
-/** A case that violated a guarantee, shrunk, or one that ran when an exception was not caught. */
+/** A case that violated a guarantee, shrunk, or that was running when an exception was not caught. */
 export interface FuzzFailure {
   readonly seed: number;
   readonly findings: readonly string[];
@@ -178,8 +178,8 @@
   };
   process.prependListener('uncaughtException', onUncaughtException);
   try {
-    const played = await runSeeds(options, runningSeeds, uncaught);
-    return { ...played, leaks: await findLeaks(before) };
+    const result = await runSeeds(options, runningSeeds, uncaught);
+    return { ...result, leaks: await findLeaks(before) };
   } finally {
     process.off('uncaughtException', onUncaughtException);
   }
--- a/fuzz/FuzzStreams.ts
+++ b/fuzz/FuzzStreams.ts
@@ -73,8 +73,8 @@
         return true;
       }
       const last = end === 0 ? lastEvent : lastEventIdOf(events);
-      const mayGoOn = end === 0 || (hasValidHead && last !== null);
-      return mayGoOn && canAssemble(match, { part: i + 1, at: at + end, lastEvent: last });
+      const mayContinue = end === 0 || (hasValidHead && last !== null);
+      return mayContinue && canAssemble(match, { part: i + 1, at: at + end, lastEvent: last });
     });
   });
 }
@@ -82,7 +82,7 @@
 /**
  * Whether a received stream can be assembled from the parts that attempts sent. Each part contributes bytes from its
  * start to the end of an event, and the next one must have been requested after the last of these events. The head
- * must be that of the first part. A complete stream must end with the end of a complete part.
+ * must be that of the first part. A complete stream must end where a complete part ends.
  */
 export function canAssembleStream(
   parts: readonly FuzzStreamPart[],
@@ -90,6 +90,6 @@
   callersLastEvent: string | null,
   hasSameHead: (answer: ReadAnswer) => boolean,
 ): boolean {
-  const begin = { part: 0, at: 0, lastEvent: callersLastEvent };
-  return canAssemble({ parts, got, hasSameHead }, begin);
+  const start = { part: 0, at: 0, lastEvent: callersLastEvent };
+  return canAssemble({ parts, got, hasSameHead }, start);
 }
