--- a/fakes/FakeMain.ts
+++ b/fakes/FakeMain.ts
@@ -5,11 +5,11 @@
 
 const [kind, listen = '', slots = '8', prefillMs = '20', tokenMs = '2'] = process.argv.slice(2);
 
-interface StandIn {
+interface FakeServer {
   listen: (port: number, host: string) => Promise<unknown>;
 }
 
-const KINDS: Readonly<Record<string, () => StandIn>> = {
+const FAKES_BY_KIND: Readonly<Record<string, () => FakeServer>> = {
   engine: () =>
     new FakeEngine({
       slots: Number(slots),
@@ -22,14 +22,14 @@
   service: () => new FakeService(5),
 };
 
-const createStandIn = KINDS[kind ?? ''];
+const createFake = FAKES_BY_KIND[kind ?? ''];
 const address = parseAddress(listen);
-if (createStandIn === undefined || address === undefined) {
-  throw new Error(`no stand-in "${kind ?? ''}" at "${listen}"`);
+if (createFake === undefined || address === undefined) {
+  throw new Error(`unknown kind "${kind ?? ''}" or invalid address "${listen}"`);
 }
 process.once('SIGTERM', () => {
   // Exits without waiting for answers in progress; the gate in front of it has to drain them first.
   // eslint-disable-next-line n/no-process-exit
   process.exit(0);
 });
-await createStandIn().listen(address.port, address.host);
+await createFake().listen(address.port, address.host);
--- a/fuzz/FuzzCaller.ts
+++ b/fuzz/FuzzCaller.ts
@@ -113,7 +113,7 @@
 
   /** Whether another request may be sent on the connection. */
   get isOpen(): boolean {
-    const { answers, fault } = this.#read();
+    const { answers, fault } = this.#parse();
     const hasConnectionClose = answers.some((answer) =>
       headerValues(answer, 'connection').some((value) => value.toLowerCase() === 'close'),
     );
@@ -137,7 +137,7 @@
   /** Resolves once all requests are answered, no more answers can come, or the time is over. */
   async waitForAnswers(): Promise<void> {
     const isOver = (): boolean => {
-      const { answers, fault } = this.#read();
+      const { answers, fault } = this.#parse();
       const complete = answers.filter((answer) => answer.isComplete && !isInformational(answer));
       return this.#end !== 'open' || fault !== null || complete.length >= this.requests.length;
     };
@@ -160,7 +160,7 @@
     this.#socket.destroy();
   }
 
-  #read(): ReadConnection {
+  #parse(): ReadConnection {
     return readConnection(Buffer.concat(this.#chunks), this.#end);
   }
 
--- a/fuzz/FuzzEndpoint.ts
+++ b/fuzz/FuzzEndpoint.ts
@@ -56,14 +56,14 @@
 export class FuzzEndpoints {
   readonly arrivals: FuzzArrival[] = [];
 
-  readonly #choose: ChooseAnswer;
+  readonly #chooseAnswer: ChooseAnswer;
 
   readonly #servers: Server[] = [];
 
   readonly #sockets = new Set<Socket>();
 
   constructor(choose: ChooseAnswer) {
-    this.#choose = choose;
+    this.#chooseAnswer = choose;
   }
 
   /** Starts another endpoint; returns its port. */
@@ -113,7 +113,7 @@
   ): { readonly rendered: RenderedAnswer; readonly id: string } {
     const id = req.headers.get(WIRE_NAMES.id.toLowerCase()) ?? '';
     const lastEvent = req.headers.get('last-event-id') ?? null;
-    const answer = this.#choose(id, this.arrivals.filter((known) => known.id === id).length);
+    const answer = this.#chooseAnswer(id, this.arrivals.filter((known) => known.id === id).length);
     const { method, path, body } = req;
     const runs = answer.kind !== 'refusal' && answer.kind !== 'drop';
     this.arrivals.push({ id, method, path, body, lastEvent, runs, connection });
--- a/fuzz/FuzzEntry.ts
+++ b/fuzz/FuzzEntry.ts
@@ -112,8 +112,12 @@
       stop.abort();
       server.close();
       server.closeAllConnections();
-      const gone = records.map((record) => ({ ...record, version: 2, status: 'gone' as const }));
-      state.onDirectory({ full: false, records: gone });
+      const departed = records.map((record) => ({
+        ...record,
+        version: 2,
+        status: 'gone' as const,
+      }));
+      state.onDirectory({ full: false, records: departed });
     },
   };
 }
--- a/fuzz/FuzzPlan.ts
+++ b/fuzz/FuzzPlan.ts
@@ -123,11 +123,11 @@
 }
 
 /** Draws the faults of an answer; most answers have only one, so that the entry doesn't reject them early. */
-function drawFlaws(
+function drawFaults(
   random: FuzzRandom,
 ): Pick<FuzzAnswer, 'head' | 'edits' | 'cut' | 'extras'> & { end: FuzzAnswer['end'] } {
   const none = { head: [], edits: [], cut: null, extras: [], end: 'keep' as const };
-  const flaws: readonly (() => Partial<FuzzAnswer>)[] = [
+  const faultDraws: readonly (() => Partial<FuzzAnswer>)[] = [
     () => ({ head: [random.pick(HEAD_CHANGES)] }),
     () => ({ head: [random.pick(HEAD_CHANGES)] }),
     () => ({ edits: [drawEdit(random), ...random.listOf(1, () => drawEdit(random))] }),
@@ -138,7 +138,7 @@
     () => ({ head: [random.pick(HEAD_CHANGES)], cut: drawCut(random) }),
     () => ({ head: [random.pick(HEAD_CHANGES)], extras: [drawExtra(random)] }),
   ];
-  return random.chance(0.3) ? none : { ...none, ...random.pick(flaws)() };
+  return random.chance(0.3) ? none : { ...none, ...random.pick(faultDraws)() };
 }
 
 function drawKind(random: FuzzRandom, route: FuzzRoute): FuzzAnswerKind {
@@ -156,7 +156,7 @@
     size: random.chance(0.1)
       ? 0
       : 1 + random.nextInteger(kind === 'stream' ? MAX_EVENTS : MAX_BODY_BYTES),
-    ...drawFlaws(random),
+    ...drawFaults(random),
     splits: random.listOf(3, () => random.nextFraction()),
     pauseMs: random.nextInteger(MAX_PAUSE_MS + 1),
   };
--- a/fuzz/__tests__/unit/FuzzOracle.test.ts
+++ b/fuzz/__tests__/unit/FuzzOracle.test.ts
@@ -80,7 +80,7 @@
 };
 
 const ALLOWED_SAMPLES: Readonly<Record<string, Sample>> = {
-  'a whole answer': { sent: [[PLAIN]], got: [PLAIN] },
+  'a complete answer': { sent: [[PLAIN]], got: [PLAIN] },
   'a connection that is reset': { sent: [[PLAIN]], got: ['HTTP/1.1 200', 'reset'] },
   'a stream in other chunks': {
     sent: [[CHUNKS + chunk(EVENT_1) + chunk(EVENT_2) + LAST_CHUNK]],
