--- a/fakes/FakeGroup.ts
+++ b/fakes/FakeGroup.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in of a group of ranks in lock-step on an expert map. A rank takes orders one by one; a step
- * runs only when every rank is willing, and the group counts steps in which maps differed.
+ * Fake group of ranks that run in lock-step on an expert map. A rank applies orders one by one; a step
+ * runs only when every rank can run it. The group counts the steps in which ranks used different maps.
  */
 
-/** Which experts each rank holds, by layer: `map[layer][rank]` lists experts. */
+/** Experts of each rank by layer: `map[layer][rank]` lists them. */
 export type FakeMap = readonly (readonly (readonly number[])[])[];
 
 /** An order to one rank. */
@@ -14,7 +14,7 @@
       readonly version: number;
       readonly map: FakeMap;
     }
-  /** Run no step from `step` on until told what became of the version. */
+  /** Run no step from `step` on before the version is committed or aborted. */
   | {
       readonly kind: 'arm';
       readonly token: number;
@@ -25,7 +25,7 @@
   | { readonly kind: 'abort'; readonly token: number; readonly version: number }
   | { readonly kind: 'query'; readonly token: number };
 
-/** What a rank answers. */
+/** Reply of a rank to an order; `highest` is the highest fencing token that it has seen. */
 export interface FakeRankReply {
   readonly accepted: boolean;
   readonly highest: number;
@@ -37,12 +37,13 @@
   readonly step: number;
 }
 
-/** What a step did. */
+/** Result of a step. */
 export interface FakeStep {
   readonly step: number;
   readonly ran: boolean;
+  /** Ranks that could not run the step. */
   readonly waiting: readonly number[];
-  /** Load of each rank, summed over layers; empty if the step didn't run. */
+  /** Load of each rank in tokens, summed over layers; empty if the step didn't run. */
   readonly rankLoad: readonly number[];
 }
 
@@ -56,12 +57,12 @@
   readonly stalled: boolean;
 }
 
-type Take<K extends FakeRankOrder['kind']> = (
+type OrderHandler<K extends FakeRankOrder['kind']> = (
   rank: Rank,
   order: Extract<FakeRankOrder, { kind: K }>,
 ) => Rank | null;
 
-const TAKE: { readonly [K in FakeRankOrder['kind']]: Take<K> } = {
+const ORDER_HANDLERS: { readonly [K in FakeRankOrder['kind']]: OrderHandler<K> } = {
   prepare: (rank, { version, map }) =>
     rank.armed === null && version > rank.version ? { ...rank, prepared: { version, map } } : null,
   arm: (rank, { version, step }) =>
@@ -72,13 +73,13 @@
     if (rank.committed === version || rank.version >= version) {
       return null;
     }
-    // Another version may be committed and not yet in use: an abort is about the one it names.
+    // Another version may be committed but not active yet; an abort affects only the version that it names.
     return rank.prepared?.version === version ? { ...rank, prepared: null, armed: null } : rank;
   },
   query: (rank) => rank,
 };
 
-/** Takes a committed version into use from the step it was armed for. */
+/** Switches to a committed version from the step it was armed for. */
 function activate(rank: Rank, step: number): Rank {
   const { armed, committed, prepared } = rank;
   return armed !== null && committed === armed.version && step >= armed.step && prepared !== null
@@ -86,12 +87,11 @@
     : rank;
 }
 
-/** A rank that is armed and doesn't know what became of the version waits rather than guesses. */
-function isWilling({ stalled, armed, committed }: Rank, step: number): boolean {
+/** False while a rank is stalled, or has reached its armed step and doesn't know whether the version is committed. */
+function canRunStep({ stalled, armed, committed }: Rank, step: number): boolean {
   return !stalled && (armed === null || step < armed.step || committed === armed.version);
 }
 
-/** The group. */
 export class FakeGroup {
   readonly #fencing: boolean;
 
@@ -99,7 +99,7 @@
 
   #step = 0;
 
-  #mixed = 0;
+  #mixedSteps = 0;
 
   constructor(ranks: number, map: FakeMap, fencing = true) {
     this.#fencing = fencing;
@@ -115,28 +115,31 @@
     this.#ranks = Array.from({ length: ranks }, () => rank);
   }
 
-  /** Steps in which ranks used different maps: must stay 0. */
+  /** Number of steps in which ranks used different versions; must stay 0. */
   get mixedSteps(): number {
-    return this.#mixed;
+    return this.#mixedSteps;
   }
 
   get versions(): readonly number[] {
     return this.#ranks.map(({ version }) => version);
   }
 
-  /** Gives an order to one rank. */
-  order(index: number, order: FakeRankOrder): FakeRankReply {
+  /** Applies an order to one rank. Throws an error if there is no such rank. */
+  applyOrder(index: number, order: FakeRankOrder): FakeRankReply {
     const rank = this.#ranks[index];
     if (rank === undefined) {
       throw new Error(`no rank ${index}`);
     }
     const stale = this.#fencing && order.token < rank.highest;
-    const take = TAKE[order.kind] as (rank: Rank, order: FakeRankOrder) => Rank | null;
-    const taken = stale ? null : take(rank, order);
-    const next = { ...(taken ?? rank), highest: Math.max(rank.highest, order.token) };
-    this.#set(index, next);
+    const applyOrderKind = ORDER_HANDLERS[order.kind] as (
+      rank: Rank,
+      order: FakeRankOrder,
+    ) => Rank | null;
+    const updated = stale ? null : applyOrderKind(rank, order);
+    const next = { ...(updated ?? rank), highest: Math.max(rank.highest, order.token) };
+    this.#setRank(index, next);
     return {
-      accepted: taken !== null,
+      accepted: updated !== null,
       highest: next.highest,
       version: next.version,
       prepared: next.prepared?.version ?? null,
@@ -147,45 +150,47 @@
     };
   }
 
-  /** A stalled rank runs no step, so the group runs none. */
-  stall(index: number, stalled: boolean): void {
+  /** Stalls or resumes a rank; the group runs no step while one is stalled. */
+  setStalled(index: number, stalled: boolean): void {
     const rank = this.#ranks[index];
     if (rank !== undefined) {
-      this.#set(index, { ...rank, stalled });
+      this.#setRank(index, { ...rank, stalled });
     }
   }
 
-  /** Runs one step if all ranks are willing. `load[layer][expert]` counts tokens. */
-  run(load: readonly (readonly number[])[]): FakeStep {
+  /** Runs one step if all ranks can run it. `load[layer][expert]` counts tokens. */
+  runStep(load: readonly (readonly number[])[]): FakeStep {
     const step = this.#step + 1;
-    const waiting = this.#ranks.flatMap((rank, i) => (isWilling(rank, step) ? [] : [i]));
+    const waiting = this.#ranks.flatMap((rank, i) => (canRunStep(rank, step) ? [] : [i]));
     if (waiting.length > 0) {
       return { step, ran: false, waiting, rankLoad: [] };
     }
     this.#step = step;
     this.#ranks = this.#ranks.map((rank) => activate(rank, step));
     if (new Set(this.versions).size > 1) {
-      this.#mixed += 1;
+      this.#mixedSteps += 1;
     }
-    return { step, ran: true, waiting, rankLoad: this.#loads(load) };
+    return { step, ran: true, waiting, rankLoad: this.#rankLoads(load) };
   }
 
-  /** Load of an expert is shared evenly by the ranks that hold a replica. */
-  #loads(load: readonly (readonly number[])[]): readonly number[] {
+  /** Load of each rank; the load of an expert is divided evenly among the ranks that have a replica. */
+  #rankLoads(load: readonly (readonly number[])[]): readonly number[] {
     return this.#ranks.map(({ map }, rank) =>
       load.reduce(
         (sum, experts, layer) =>
           sum +
-          (map[layer]?.[rank] ?? []).reduce((part, expert) => {
-            const holders = (map[layer] ?? []).filter((held) => held.includes(expert)).length;
-            return part + (experts[expert] ?? 0) / holders;
+          (map[layer]?.[rank] ?? []).reduce((layerSum, expert) => {
+            const replicaCount = (map[layer] ?? []).filter((rankExperts) =>
+              rankExperts.includes(expert),
+            ).length;
+            return layerSum + (experts[expert] ?? 0) / replicaCount;
           }, 0),
         0,
       ),
     );
   }
 
-  #set(index: number, rank: Rank): void {
+  #setRank(index: number, rank: Rank): void {
     this.#ranks = this.#ranks.map((known, i) => (i === index ? rank : known));
   }
 }
--- a/fakes/FakeLockstep.ts
+++ b/fakes/FakeLockstep.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in of a group whose ranks switch maps at a pass they were armed for, and which one rank can
- * hold. It counts passes that began while ranks used different maps.
+ * Fake group whose ranks switch maps at the pass for which they were armed. A rank with a hold stops the whole
+ * group at that pass. The group counts the passes that started while ranks used different maps.
  */
 import type { EngineOrder, GroupMap, RankReport } from '../src/protocol/index.js';
 
@@ -13,7 +13,7 @@
   readonly held: number | null;
 }
 
-const FIRST: Rank = {
+const INITIAL_RANK: Rank = {
   version: 0,
   map: 'first',
   highest: 0,
@@ -22,29 +22,30 @@
   held: null,
 };
 
-type Take<K extends EngineOrder['kind']> = (
+type OrderHandler<K extends EngineOrder['kind']> = (
   rank: Rank,
   order: Extract<EngineOrder, { kind: K }>,
   step: number,
 ) => Rank | null;
 
-const TAKE: { readonly [K in EngineOrder['kind']]: Take<K> } = {
+const ORDER_HANDLERS: { readonly [K in EngineOrder['kind']]: OrderHandler<K> } = {
   prepare: (rank, { version, map }) =>
     version > rank.highest && rank.armed === null
       ? { ...rank, highest: version, prepared: { version, map: JSON.stringify(map) } }
       : null,
-  arm: (rank, { version, step }, begun) =>
-    rank.prepared?.version === version && step > begun
+  arm: (rank, { version, step }, currentStep) =>
+    rank.prepared?.version === version && step > currentStep
       ? { ...rank, armed: { version, step } }
       : null,
   disarm: (rank, { version }) =>
     rank.armed?.version === version ? { ...rank, armed: null } : null,
-  hold: (rank, { step }, begun) =>
-    step > begun && (rank.held === null || rank.held === step) ? { ...rank, held: step } : null,
+  hold: (rank, { step }, currentStep) =>
+    step > currentStep && (rank.held === null || rank.held === step)
+      ? { ...rank, held: step }
+      : null,
   release: (rank, { step }) => (rank.held === step ? { ...rank, held: null } : null),
 };
 
-/** The group. */
 export class FakeLockstep {
   #ranks: readonly Rank[];
 
@@ -52,15 +53,15 @@
 
   #step = 0;
 
-  #mixed = 0;
+  #mixedPasses = 0;
 
   constructor(ranks: number) {
-    this.#ranks = Array.from({ length: ranks }, () => FIRST);
+    this.#ranks = Array.from({ length: ranks }, () => INITIAL_RANK);
   }
 
-  /** Passes that began while ranks used different maps. */
-  get mixed(): number {
-    return this.#mixed;
+  /** Number of passes that started while ranks used different maps. */
+  get mixedPasses(): number {
+    return this.#mixedPasses;
   }
 
   get step(): number {
@@ -71,22 +72,26 @@
     return this.#ranks.map(({ version }) => version);
   }
 
-  /** Carries an order out; false where it doesn't fit. */
-  take(at: number, order: EngineOrder): boolean {
-    const rank = this.#ranks[at];
+  /** Applies an order to a rank; returns false if its epoch is another or the rank's state doesn't allow it. */
+  applyOrder(index: number, order: EngineOrder): boolean {
+    const rank = this.#ranks[index];
     if (rank === undefined || order.epoch !== this.#epoch) {
       return false;
     }
-    const take = TAKE[order.kind] as (state: Rank, item: EngineOrder, step: number) => Rank | null;
-    const next = take(rank, order, this.#step);
+    const applyOrderKind = ORDER_HANDLERS[order.kind] as (
+      state: Rank,
+      item: EngineOrder,
+      step: number,
+    ) => Rank | null;
+    const next = applyOrderKind(rank, order, this.#step);
     if (next !== null) {
-      this.#ranks = this.#ranks.map((other, i) => (i === at ? next : other));
+      this.#ranks = this.#ranks.map((other, i) => (i === index ? next : other));
     }
     return next !== null;
   }
 
-  /** Begins the next pass, unless a rank holds it. */
-  pass(): void {
+  /** Runs the next pass, unless a rank has a hold at it or before. */
+  runPass(): void {
     const next = this.#step + 1;
     if (this.#ranks.some(({ held }) => held !== null && held <= next)) {
       return;
@@ -104,22 +109,22 @@
         : rank,
     );
     if (new Set(this.#ranks.map(({ version, map }) => `${version} ${map}`)).size > 1) {
-      this.#mixed += 1;
+      this.#mixedPasses += 1;
     }
   }
 
-  /** All ranks start anew, as after one has crashed. */
-  reform(): void {
+  /** Resets all ranks under a new epoch, as after the crash of one. */
+  restart(): void {
     this.#epoch += 1;
-    this.#ranks = this.#ranks.map(() => FIRST);
+    this.#ranks = this.#ranks.map(() => INITIAL_RANK);
   }
 
-  report(at: number): RankReport {
-    const rank = this.#ranks[at] ?? FIRST;
+  report(index: number): RankReport {
+    const rank = this.#ranks[index] ?? INITIAL_RANK;
     return {
       group: 'g',
       epoch: this.#epoch,
-      rank: at,
+      rank: index,
       ranks: this.#ranks.length,
       open: true,
       step: this.#step,
@@ -134,13 +139,13 @@
     };
   }
 
-  /** The map that a rank uses; null for the one it starts with. */
-  mapOf(at: number): GroupMap | null {
-    const map = this.#ranks[at]?.map;
-    return map === undefined || map === FIRST.map ? null : (JSON.parse(map) as GroupMap);
+  /** Map that a rank uses; null for its initial one. */
+  mapOf(index: number): GroupMap | null {
+    const map = this.#ranks[index]?.map;
+    return map === undefined || map === INITIAL_RANK.map ? null : (JSON.parse(map) as GroupMap);
   }
 
-  /** A map in use, as a coordinator would read it. */
+  /** Map with one layer, in which each rank has the expert of its index; a coordinator reads it as the one in use. */
   get map(): GroupMap {
     return [this.#ranks.map((_rank, i) => [i])];
   }
--- a/fakes/FakeMain.ts
+++ b/fakes/FakeMain.ts
@@ -1,35 +1,35 @@
-/** Runs one stand-in: `FakeMain engine|service IP:PORT [slots prefillMs tokenMs]`. */
+/** Runs one fake: `FakeMain engine|service IP:PORT [slots prefillMs tokenMs]`. */
 import { FakeEngine } from './FakeEngine.js';
 import { FakeService } from './FakeService.js';
 import { parseAddress } from '../src/transport/index.js';
 
 const [kind, listen = '', slots = '8', prefillMs = '20', tokenMs = '2'] = process.argv.slice(2);
 
-interface StandIn {
+interface FakeServer {
   listen: (port: number, host: string) => Promise<unknown>;
 }
 
-const KINDS: Readonly<Record<string, () => StandIn>> = {
+const FAKES_BY_KIND: Readonly<Record<string, () => FakeServer>> = {
   engine: () =>
     new FakeEngine({
       slots: Number(slots),
       prefillMs: Number(prefillMs),
       tokenMs: Number(tokenMs),
-      // It dies as a process does that meets a request it can't bear.
+      // Exits as a process does that crashes on a request.
       // eslint-disable-next-line n/no-process-exit
-      end: () => process.exit(1),
+      crash: () => process.exit(1),
     }),
   service: () => new FakeService(5),
 };
 
-const make = KINDS[kind ?? ''];
+const createFake = FAKES_BY_KIND[kind ?? ''];
 const address = parseAddress(listen);
-if (make === undefined || address === undefined) {
-  throw new Error(`no stand-in "${kind ?? ''}" at "${listen}"`);
+if (createFake === undefined || address === undefined) {
+  throw new Error(`unknown kind "${kind ?? ''}" or invalid address "${listen}"`);
 }
 process.once('SIGTERM', () => {
-  // A stand-in ends at once: what its open answers need is the gate's business.
+  // Exits without waiting for answers in progress; the gate in front of it has to drain them first.
   // eslint-disable-next-line n/no-process-exit
   process.exit(0);
 });
-await make().listen(address.port, address.host);
+await createFake().listen(address.port, address.host);
--- a/fuzz/FuzzEndpoint.ts
+++ b/fuzz/FuzzEndpoint.ts
@@ -1,38 +1,38 @@
-/** Raw TCP endpoints that answer by script and write down what they sent. */
+/** Endpoints on raw TCP that give scripted answers and record what they receive and send. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
-import { EndpointConnection, type FuzzSent } from './FuzzConnection.js';
+import { EndpointConnection, type FuzzSentData } from './FuzzConnection.js';
 import { renderAnswer, type RenderedAnswer } from './FuzzRender.js';
 import type { FuzzAnswer } from './FuzzTypes.js';
 
-/** A request as it came to an endpoint. */
+/** A request as an endpoint received it. */
 export interface FuzzArrival {
   readonly id: string;
   readonly method: string;
   readonly path: string;
   readonly body: string;
   readonly lastEvent: string | null;
-  /** Whether the endpoint begins to run it. */
+  /** Whether the endpoint runs it; not so for a refusal and a drop. */
   readonly runs: boolean;
-  readonly connection: FuzzSent;
+  readonly connection: FuzzSentData;
 }
 
-/** The answer to an arrival; `nth` counts those of one id from 0. */
+/** Selects the answer to an arrival; `nth` counts the arrivals of one id from 0. */
 export type ChooseAnswer = (id: string, nth: number) => FuzzAnswer;
 
-interface ArrivedRequest {
+interface ParsedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
-  /** Bytes that it takes. */
-  readonly length: number;
+  /** Size of head and body in bytes. */
+  readonly byteLength: number;
 }
 
 const HEAD_END = '\r\n\r\n';
 
-/** A whole request at the begin of some bytes; null where more are due. */
-function readRequest(text: string): ArrivedRequest | null {
+/** Parses the request at the start of some bytes; null if it isn't complete. */
+function parseRequest(text: string): ParsedRequest | null {
   const headEnd = text.indexOf(HEAD_END);
   if (headEnd < 0) {
     return null;
@@ -49,24 +49,24 @@
   const length = from + Number(headers.get('content-length') ?? 0);
   return text.length < length
     ? null
-    : { method, path, headers, body: text.slice(from, length), length };
+    : { method, path, headers, body: text.slice(from, length), byteLength: length };
 }
 
-/** The endpoints of one case; arrivals at all of them stand in one list, in order. */
+/** The endpoints of one case; `arrivals` lists the requests to all of them in order. */
 export class FuzzEndpoints {
   readonly arrivals: FuzzArrival[] = [];
 
-  readonly #choose: ChooseAnswer;
+  readonly #chooseAnswer: ChooseAnswer;
 
   readonly #servers: Server[] = [];
 
   readonly #sockets = new Set<Socket>();
 
   constructor(choose: ChooseAnswer) {
-    this.#choose = choose;
+    this.#chooseAnswer = choose;
   }
 
-  /** Starts one more, and gives its port. */
+  /** Starts another endpoint; returns its port. */
   async listen(): Promise<number> {
     const server = createServer({ noDelay: true }, (socket) => this.#onConnection(socket));
     this.#servers.push(server);
@@ -83,43 +83,43 @@
 
   #onConnection(socket: Socket): void {
     const connection = new EndpointConnection(socket);
-    let rest = '';
-    let pending = Buffer.alloc(0);
-    let earlierId = '';
+    let unparsed = '';
+    let deferredBytes = Buffer.alloc(0);
+    let previousId = '';
     this.#sockets.add(socket);
     socket.once('close', () => this.#sockets.delete(socket));
-    // What ends a connection is the matter of the case.
+    // A case may end its connections with an error; the oracle judges the result.
     socket.on('error', () => undefined);
     socket.on('data', (chunk) => {
-      rest += chunk.toString('latin1');
-      const req = readRequest(rest);
+      unparsed += chunk.toString('latin1');
+      const req = parseRequest(unparsed);
       if (req === null) {
         return;
       }
-      rest = rest.slice(req.length);
-      connection.write(pending);
-      const { rendered, id } = this.#take(req, connection, earlierId);
-      pending = Buffer.from(rendered.onNext);
-      earlierId = id;
-      connection.play(rendered).catch(() => socket.destroy());
+      unparsed = unparsed.slice(req.byteLength);
+      connection.write(deferredBytes);
+      const { rendered, id } = this.#recordArrival(req, connection, previousId);
+      deferredBytes = Buffer.from(rendered.onNext);
+      previousId = id;
+      connection.writeAnswer(rendered).catch(() => socket.destroy());
     });
   }
 
-  /** Writes an arrival down, and renders its answer. */
-  #take(
-    req: ArrivedRequest,
-    connection: FuzzSent,
-    earlierId: string,
+  /** Records an arrival and renders its answer. */
+  #recordArrival(
+    req: ParsedRequest,
+    connection: FuzzSentData,
+    previousId: string,
   ): { readonly rendered: RenderedAnswer; readonly id: string } {
     const id = req.headers.get(WIRE_NAMES.id.toLowerCase()) ?? '';
     const lastEvent = req.headers.get('last-event-id') ?? null;
-    const answer = this.#choose(id, this.arrivals.filter((known) => known.id === id).length);
+    const answer = this.#chooseAnswer(id, this.arrivals.filter((known) => known.id === id).length);
     const { method, path, body } = req;
     const runs = answer.kind !== 'refusal' && answer.kind !== 'drop';
     this.arrivals.push({ id, method, path, body, lastEvent, runs, connection });
     const ctx = {
       id,
-      earlierId,
+      previousId,
       seal: `seal.${this.arrivals.length}`,
       lastEvent: Number(lastEvent ?? 0) || 0,
     };
--- a/fuzz/FuzzHead.ts
+++ b/fuzz/FuzzHead.ts
@@ -1,17 +1,17 @@
-/** Lines of an answer's head, and the changes that are made to them by name. */
+/** Lines of an answer's head and the named changes to them. */
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import type { FuzzHeadChange } from './FuzzTypes.js';
 
-/** One header line; `eol` ends it. */
+/** One header line; `eol` is its line ending. */
 export interface HeadLine {
   readonly name: string;
   readonly value: string;
   readonly eol: string;
 }
 
-/** A head; `before` are interim answers in front of it. */
+/** A head; `interimText` holds the interim answers sent before it. */
 export interface AnswerHeadText {
-  readonly before: string;
+  readonly interimText: string;
   readonly protocol: string;
   readonly status: number;
   readonly lines: readonly HeadLine[];
@@ -19,7 +19,7 @@
 
 type Change = (head: AnswerHeadText) => AnswerHeadText;
 
-/** An id that no request has. */
+/** Id that is used by no request. */
 const OTHER_ID = 'ffffffff';
 
 export function headLine(name: string, value: string): HeadLine {
@@ -50,7 +50,7 @@
   return editLine(name, (line) => ({ ...line, value: value(line.value) }));
 }
 
-/** Moves a declared length; answers without one get it. */
+/** Changes the Content-Length; an answer without one gets `value(0)`. */
 function setLength(value: (old: number) => string): Change {
   return (head) => {
     const known = head.lines.find(({ name }) => name === 'Content-Length');
@@ -64,8 +64,8 @@
   return (head) => ({ ...head, status });
 }
 
-function putBefore(before: string): Change {
-  return (head) => ({ ...head, before });
+function setInterimText(interimText: string): Change {
+  return (head) => ({ ...head, interimText });
 }
 
 function chain(...changes: readonly Change[]): Change {
@@ -110,15 +110,15 @@
   statusUnavailable: setStatus(503),
   statusError: setStatus(500),
   statusHigh: setStatus(600),
-  interim: putBefore(INTERIM),
-  interimTwice: putBefore(`HTTP/1.1 100 Continue\r\n\r\n${INTERIM}`),
+  interim: setInterimText(INTERIM),
+  interimTwice: setInterimText(`HTTP/1.1 100 Continue\r\n\r\n${INTERIM}`),
   switching: setStatus(101),
   olderProtocol: (head) => ({ ...head, protocol: 'HTTP/1.0' }),
   plainType: setValue('Content-Type', () => 'text/plain'),
   eventType: setValue('Content-Type', () => 'text/event-stream'),
 };
 
-/** Makes the changes in order. */
+/** Applies the changes in order. */
 export function changeHead(
   head: AnswerHeadText,
   changes: readonly FuzzHeadChange[],
--- a/fuzz/FuzzRegressions.ts
+++ b/fuzz/FuzzRegressions.ts
@@ -1,12 +1,12 @@
-/** Cases that ever failed, each with what it guards against; CI plays them all. */
+/** Cases that failed once, each with its symptom; CI runs them all. */
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
 /** A case that failed. */
 export interface FuzzRegression {
   readonly name: string;
-  /** What callers would see again. */
-  readonly guards: string;
-  /** Seed that it was found by. */
+  /** What a caller saw when the case failed. */
+  readonly symptom: string;
+  /** Seed with which it was found. */
   readonly seed: number;
   readonly plan: FuzzCase;
 }
@@ -37,77 +37,80 @@
   answers: [],
 };
 
-/** One request, and what its arrivals get. */
-function plan(route: FuzzRequest['route'], ...answers: readonly FuzzAnswer[]): FuzzCase {
+/** Case of one request and the answers to its arrivals. */
+function singleRequestCase(
+  route: FuzzRequest['route'],
+  ...answers: readonly FuzzAnswer[]
+): FuzzCase {
   return { endpoints: 2, requests: [{ ...REQUEST, route, answers }] };
 }
 
 export const REGRESSIONS: readonly FuzzRegression[] = [
   {
-    name: 'a seal that Connection names',
-    guards: 'a success without the seal',
+    name: 'a seal that is named in Connection',
+    symptom: 'a success without the seal',
     seed: 43,
-    plan: plan('ask', { ...PLAIN, head: ['hopSeal'] }),
+    plan: singleRequestCase('ask', { ...PLAIN, head: ['hopSeal'] }),
   },
   {
-    name: 'an id that Connection names',
-    guards: 'a success without the id of its request',
+    name: 'an id that is named in Connection',
+    symptom: 'a success without the id of its request',
     seed: 20,
-    plan: plan('hold', { ...PLAIN, head: ['hopId'] }),
+    plan: singleRequestCase('hold', { ...PLAIN, head: ['hopId'] }),
   },
   {
     name: 'an empty seal',
-    guards: 'a success with a seal that holds nothing',
+    symptom: 'a success with an empty seal',
     seed: 46,
-    plan: plan('hold', { ...PLAIN, head: ['emptySeal'] }),
+    plan: singleRequestCase('hold', { ...PLAIN, head: ['emptySeal'] }),
   },
   {
     name: 'the ids of two requests',
-    guards: 'a success that bears the id of another request too',
+    symptom: 'a success that also has the id of another request',
     seed: 85,
-    plan: plan('ask', { ...PLAIN, head: ['ownIdThenOther'] }),
+    plan: singleRequestCase('ask', { ...PLAIN, head: ['ownIdThenOther'] }),
   },
   {
-    name: 'a transfer coding that is not chunks',
-    guards: 'coded bytes as the body of a success',
+    name: 'a transfer coding other than chunked',
+    symptom: 'encoded bytes as the body of a success',
     seed: 77,
-    plan: plan('stream', { ...STREAM, framing: 'close', head: ['otherCoding'] }),
+    plan: singleRequestCase('stream', { ...STREAM, framing: 'close', head: ['otherCoding'] }),
   },
   {
-    name: 'a seal with a byte beyond ASCII',
-    guards: 'a stream with a changed seal',
+    name: 'a seal with a non-ASCII byte',
+    symptom: 'a stream with an altered seal',
     seed: 3_519,
-    plan: plan('stream', {
+    plan: singleRequestCase('stream', {
       ...STREAM,
       framing: 'close',
       edits: [{ kind: 'insert', region: 'value', at: 0.718, value: 255 }],
     }),
   },
   {
-    name: 'a stream that goes on as a plain answer',
-    guards: 'a stream that ends by a fault of the entry',
+    name: 'a stream that is resumed with a plain answer',
+    symptom: 'a stream that ends because of an error in the entry',
     seed: 984,
-    plan: plan('stream', { ...STREAM, cut: { at: 0.85, by: 'reset' } }, PLAIN),
+    plan: singleRequestCase('stream', { ...STREAM, cut: { at: 0.85, by: 'reset' } }, PLAIN),
   },
   {
-    name: 'an answer without a length that is given up half way',
-    guards: 'an entry process that ends with all its streams',
+    name: 'an answer without a length that is aborted half way',
+    symptom: 'an entry process that crashes with all its streams',
     seed: 1,
-    plan: plan('ask', {
+    plan: singleRequestCase('ask', {
       ...STREAM,
       framing: 'close',
       edits: [{ kind: 'flip', region: 'event', at: 0.99, value: 1 }],
     }),
   },
   {
-    name: 'a stream without an event',
-    guards: 'a success with a head that the HTTP library has made up',
+    name: 'a stream without events',
+    symptom: 'a success with a head that the HTTP library generated',
     seed: 1,
-    plan: plan('stream', { ...STREAM, size: 0 }),
+    plan: singleRequestCase('stream', { ...STREAM, size: 0 }),
   },
   {
-    name: 'an event that has lost its id, and a break behind it',
-    guards: 'an event twice in a stream that goes on after the one before',
+    name: 'an event without its id, followed by a break of the connection',
+    symptom: 'an event that is repeated after the stream is resumed from the event before it',
     seed: 905_711,
     plan: {
       endpoints: 2,
--- a/fuzz/FuzzRender.ts
+++ b/fuzz/FuzzRender.ts
@@ -1,4 +1,4 @@
-/** Writes an endpoint's answer as bytes, with what is changed in it. Pure. */
+/** Renders an endpoint's answer as bytes and applies the changes of its script. Pure. */
 import { WIRE_NAMES } from '../platform/__tests__/utils/StandInWire.js';
 import { changeHead, headLine, type AnswerHeadText, type HeadLine } from './FuzzHead.js';
 import type {
@@ -11,21 +11,21 @@
   FuzzWrite,
 } from './FuzzTypes.js';
 
-/** What an arrival brings to its answer. */
+/** Values of an arrival that its answer depends on. */
 export interface RenderContext {
   readonly id: string;
-  /** Id of the request before it on the connection. */
-  readonly earlierId: string;
-  /** Names the answer apart from all others. */
+  /** Id of the previous request on the connection. */
+  readonly previousId: string;
+  /** Value of the seal header, unique to this answer. */
   readonly seal: string;
-  /** Event after which a stream goes on. */
+  /** Id of the event after which a stream is resumed; 0 for its start. */
   readonly lastEvent: number;
 }
 
-/** Bytes to write, and what follows them. */
+/** Bytes to write and how the connection ends after them. */
 export interface RenderedAnswer {
   readonly writes: readonly FuzzWrite[];
-  /** Written once the next request has come on the connection. */
+  /** Written once the next request is received on the connection. */
   readonly onNext: Buffer;
   readonly end: 'keep' | 'fin' | 'reset';
 }
@@ -35,11 +35,11 @@
   readonly text: string;
 }
 
-/** Pause before an answer that comes shortly after another, ms. */
-const SOON_MS = 2;
+/** Pause before an extra answer that is sent soon after the proper one, ms. */
+const DELAYED_EXTRA_MS = 2;
 
-/** How long endpoints that refuse want to rest, s. */
-const REST_S = '0.02';
+/** Backoff that endpoints ask for in a refusal, s. */
+const RETRY_AFTER_S = '0.02';
 
 function bodyOf(kind: FuzzAnswerKind, size: number, { id, lastEvent }: RenderContext): Segment[] {
   if (kind === 'stream') {
@@ -79,22 +79,22 @@
   { id, seal }: RenderContext,
 ): AnswerHeadText {
   const type = kind === 'stream' ? 'text/event-stream' : 'application/octet-stream';
-  const own =
+  const kindLines =
     kind === 'refusal'
-      ? [headLine(WIRE_NAMES.notRun, '1'), headLine('Retry-After', REST_S)]
+      ? [headLine(WIRE_NAMES.notRun, '1'), headLine('Retry-After', RETRY_AFTER_S)]
       : [headLine(WIRE_NAMES.seal, seal)];
   const lines = [
     headLine(WIRE_NAMES.id, id),
     headLine('Content-Type', type),
-    ...own,
+    ...kindLines,
     framingLine(framing, length),
   ];
-  return { before: '', protocol: 'HTTP/1.1', status: STATUS[kind], lines };
+  return { interimText: '', protocol: 'HTTP/1.1', status: STATUS[kind], lines };
 }
 
-function headSegments({ before, protocol, status, lines }: AnswerHeadText): Segment[] {
+function headSegments({ interimText, protocol, status, lines }: AnswerHeadText): Segment[] {
   return [
-    { region: null, text: before },
+    { region: null, text: interimText },
     { region: 'status', text: `${protocol} ${status} OK\r\n` },
     ...lines.flatMap(({ name, value, eol }) => [
       { region: 'name' as const, text: name },
@@ -106,7 +106,7 @@
   ];
 }
 
-function framed(parts: readonly Segment[], framing: FuzzFraming): Segment[] {
+function frameBody(parts: readonly Segment[], framing: FuzzFraming): Segment[] {
   if (framing !== 'chunked') {
     return [...parts];
   }
@@ -118,14 +118,15 @@
   return [...chunks, { region: 'size', text: '0\r\n' }, { region: null, text: '\r\n' }];
 }
 
-/** Places of a region's bytes; all of a body's where the answer has none of that region. */
-function placesOf(segments: readonly Segment[], region: FuzzRegion): readonly number[] {
+/** Offsets of the bytes in a region; the events of a stream also belong to the region `body`. */
+function positionsOf(segments: readonly Segment[], region: FuzzRegion): readonly number[] {
   let at = 0;
   return segments.flatMap((segment) => {
     const from = at;
     at += segment.text.length;
-    const isMeant = segment.region === region || (region === 'body' && segment.region === 'event');
-    return isMeant ? Array.from({ length: segment.text.length }, (_item, i) => from + i) : [];
+    const isInRegion =
+      segment.region === region || (region === 'body' && segment.region === 'event');
+    return isInRegion ? Array.from({ length: segment.text.length }, (_item, i) => from + i) : [];
   });
 }
 
@@ -142,36 +143,36 @@
   drop: (text, at, value) => text.slice(0, at) + text.slice(at + value),
 };
 
-/** Makes the edits from the last place on, so that none moves another. */
+/** Applies the edits from the last offset to the first, so that none moves the offset of another. */
 function editText(segments: readonly Segment[], edits: readonly FuzzEdit[]): string {
   const text = segments.map((segment) => segment.text).join('');
-  const placed = edits.flatMap(({ kind, region, at, value }) => {
-    const places = placesOf(segments, region);
-    const place = places[Math.floor(at * places.length)];
-    return place === undefined ? [] : [{ kind, place, value }];
+  const positionedEdits = edits.flatMap(({ kind, region, at, value }) => {
+    const positions = positionsOf(segments, region);
+    const position = positions[Math.floor(at * positions.length)];
+    return position === undefined ? [] : [{ kind, position, value }];
   });
-  return [...placed]
-    .sort((a, b) => b.place - a.place)
-    .reduce((changed, { kind, place, value }) => EDITS[kind](changed, place, value), text);
+  return [...positionedEdits]
+    .sort((a, b) => b.position - a.position)
+    .reduce((changed, { kind, position, value }) => EDITS[kind](changed, position, value), text);
 }
 
 const EXTRA_SIZE = 12;
 
 function renderExtra({ id, kind }: FuzzExtra, ctx: RenderContext): string {
   const seal = `${ctx.seal}.extra`;
-  const ids = { same: ctx.id, earlier: ctx.earlierId, none: ctx.id };
-  const own = { ...ctx, id: ids[id], seal, lastEvent: 0 };
-  const parts = bodyOf(kind, kind === 'stream' ? 2 : EXTRA_SIZE, own);
+  const ids = { same: ctx.id, earlier: ctx.previousId, none: ctx.id };
+  const extraCtx = { ...ctx, id: ids[id], seal, lastEvent: 0 };
+  const parts = bodyOf(kind, kind === 'stream' ? 2 : EXTRA_SIZE, extraCtx);
   const length = parts.reduce((sum, { text }) => sum + text.length, 0);
-  const head = headOf(kind, 'length', length, own);
+  const head = headOf(kind, 'length', length, extraCtx);
   const changed = id === 'none' ? changeHead(head, ['noId']) : head;
   return [...headSegments(changed), ...parts].map(({ text }) => text).join('');
 }
 
-/** A text in the pieces in which it is written. */
+/** Splits a text into writes; `splits` are fractions of its length. */
 export function splitText(text: string, splits: readonly number[], pauseMs: number): FuzzWrite[] {
-  const places = splits.map((at) => Math.floor(at * text.length)).sort((a, b) => a - b);
-  const bounds = [0, ...places, text.length];
+  const positions = splits.map((at) => Math.floor(at * text.length)).sort((a, b) => a - b);
+  const bounds = [0, ...positions, text.length];
   return bounds
     .slice(1)
     .map((end, i) => ({ text: text.slice(bounds[i], end), pauseMs: i === 0 ? 0 : pauseMs }))
@@ -186,7 +187,7 @@
   return end === 'keep' && framing === 'close' ? 'fin' : end;
 }
 
-/** An answer as it is written for one arrival. */
+/** Renders the answer to one arrival. */
 export function renderAnswer(answer: FuzzAnswer, ctx: RenderContext): RenderedAnswer {
   const { kind, framing, size, cut, extras, splits, pauseMs } = answer;
   if (kind === 'drop') {
@@ -195,15 +196,17 @@
   const parts = bodyOf(kind, size, ctx);
   const length = parts.reduce((sum, { text }) => sum + text.length, 0);
   const head = changeHead(headOf(kind, framing, length, ctx), answer.head);
-  const text = editText([...headSegments(head), ...framed(parts, framing)], answer.edits);
-  const kept = cut === null ? text : text.slice(0, Math.floor(cut.at * (text.length + 1)));
+  const text = editText([...headSegments(head), ...frameBody(parts, framing)], answer.edits);
+  const truncated = cut === null ? text : text.slice(0, Math.floor(cut.at * (text.length + 1)));
   const extraTexts = (when: FuzzExtra['when']): string =>
     extras.flatMap((extra) => (extra.when === when ? [renderExtra(extra, ctx)] : [])).join('');
-  const soon = extraTexts('soon');
+  const delayedExtras = extraTexts('soon');
   return {
     writes: [
-      ...splitText(kept + extraTexts('same'), splits, pauseMs),
-      ...(soon === '' ? [] : [{ bytes: Buffer.from(soon, 'latin1'), pauseMs: SOON_MS }]),
+      ...splitText(truncated + extraTexts('same'), splits, pauseMs),
+      ...(delayedExtras === ''
+        ? []
+        : [{ bytes: Buffer.from(delayedExtras, 'latin1'), pauseMs: DELAYED_EXTRA_MS }]),
     ],
     onNext: Buffer.from(extraTexts('next'), 'latin1'),
     end: endOf(answer),
--- a/fuzz/FuzzShrink.ts
+++ b/fuzz/FuzzShrink.ts
@@ -1,8 +1,8 @@
-/** Makes a failing case smaller, one simplification at a time. */
+/** Shrinks a failing case by one simplification at a time. */
 import type { FuzzAnswer, FuzzCase, FuzzRequest } from './FuzzTypes.js';
 
-/** Tries at most: each plays a case. */
-const MOST_TRIES = 60;
+/** Maximum number of attempts; each runs a case. */
+const MAX_TRIES = 60;
 
 function without<T>(items: readonly T[], i: number): readonly T[] {
   return items.filter((_item, at) => at !== i);
@@ -43,7 +43,7 @@
   ];
 }
 
-/** Cases with one thing less. */
+/** Cases with one simplification each. */
 export function smallerCases(plan: FuzzCase): readonly FuzzCase[] {
   const { requests, endpoints } = plan;
   return [
@@ -60,7 +60,7 @@
   ];
 }
 
-/** The smallest case found that still fails. */
+/** Returns the smallest case found that still fails. */
 export async function shrinkCase(
   plan: FuzzCase,
   fails: (smaller: FuzzCase) => Promise<boolean>,
@@ -68,13 +68,13 @@
   let smallest = plan;
   let tries = 0;
   let candidates = smallerCases(smallest);
-  while (candidates.length > 0 && tries < MOST_TRIES) {
+  while (candidates.length > 0 && tries < MAX_TRIES) {
     const [next, ...others] = candidates as readonly [FuzzCase, ...FuzzCase[]];
     tries += 1;
     // eslint-disable-next-line no-await-in-loop
-    const isStill = await fails(next);
-    smallest = isStill ? next : smallest;
-    candidates = isStill ? smallerCases(next) : others;
+    const stillFails = await fails(next);
+    smallest = stillFails ? next : smallest;
+    candidates = stillFails ? smallerCases(next) : others;
   }
   return smallest;
 }
--- a/fuzz/FuzzStreams.ts
+++ b/fuzz/FuzzStreams.ts
@@ -1,24 +1,24 @@
-/** Whether a stream that a caller got is made of whole events of its endpoints, in order and none twice. */
+/** Checks that a stream received by a caller consists of complete events of endpoints, in order and without repeats. */
 import type { ReadAnswer } from './FuzzReader.js';
 
-/** What one attempt's endpoint sent of a stream. */
+/** Part of a stream that the endpoint of one attempt sent. */
 export interface FuzzStreamPart {
-  /** Event after which the endpoint was told to go on; null for the begin. */
+  /** Last-Event-Id of the request to the endpoint; null if it had none. */
   readonly resumedAfter: string | null;
   readonly answer: ReadAnswer;
 }
 
-/** What a caller got of a stream. */
-export interface FuzzStreamGot {
+/** Stream as a caller received it. */
+export interface FuzzReceivedStream {
   readonly body: Buffer;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 const EVENT_END = Buffer.from('\n\n');
 
 const ID_LINE = /^id(?:: ?(.*))?$/;
 
-/** Places behind each whole event of a body, and its begin. */
+/** Offset 0 and the offset after each complete event of a body. */
 export function eventEnds(body: Buffer): readonly number[] {
   const ends = [0];
   let at = body.indexOf(EVENT_END);
@@ -29,8 +29,8 @@
   return ends;
 }
 
-/** Id of the last of some whole events; null where it has none, or more than one. */
-export function lastIdOf(events: Buffer): string | null {
+/** Id of the last of some complete events; null if it has no id or more than one. */
+export function lastEventIdOf(events: Buffer): string | null {
   const ends = eventEnds(events);
   const last = events.subarray(ends.at(-2) ?? 0).toString('latin1');
   const ids = last.split('\n').flatMap((line) => {
@@ -40,56 +40,56 @@
   return ids.length === 1 ? (ids[0] ?? null) : null;
 }
 
-/** What is to be explained, and by what. */
-interface Puzzle {
+/** A received stream and the parts from which it is to be assembled. */
+interface StreamMatch {
   readonly parts: readonly FuzzStreamPart[];
-  readonly got: FuzzStreamGot;
-  readonly bearsHead: (answer: ReadAnswer) => boolean;
+  readonly got: FuzzReceivedStream;
+  readonly hasSameHead: (answer: ReadAnswer) => boolean;
 }
 
-/** Where the search stands: parts and bytes that are used up, and the event after which the next part goes on. */
-interface Place {
+/** State of the search: number of parts and bytes that are used, and the id after which the next part resumes. */
+interface SearchPosition {
   readonly part: number;
   readonly at: number;
   readonly lastEvent: string | null;
 }
 
-/** Whether the rest of what a caller got is made of the rest of the parts. */
-function isExplained(puzzle: Puzzle, { part: from, at, lastEvent }: Place): boolean {
-  const { parts, got, bearsHead } = puzzle;
+/** Whether the remaining bytes can be assembled from the remaining parts. */
+function canAssemble(match: StreamMatch, { part: from, at, lastEvent }: SearchPosition): boolean {
+  const { parts, got, hasSameHead } = match;
   const rest = got.body.subarray(at);
   return parts.some(({ resumedAfter, answer }, i) => {
     if (i < from || resumedAfter !== lastEvent) {
       return false;
     }
-    const mayBegin = at > 0 || bearsHead(answer);
+    const hasValidHead = at > 0 || hasSameHead(answer);
     return eventEnds(answer.body).some((end) => {
       const events = answer.body.subarray(0, end);
       if (!rest.subarray(0, end).equals(events)) {
         return false;
       }
-      const isEnd = answer.isWhole && end === answer.body.length;
-      if (mayBegin && end === rest.length && (isEnd || !got.isWhole)) {
+      const isEnd = answer.isComplete && end === answer.body.length;
+      if (hasValidHead && end === rest.length && (isEnd || !got.isComplete)) {
         return true;
       }
-      const last = end === 0 ? lastEvent : lastIdOf(events);
-      const mayGoOn = end === 0 || (mayBegin && last !== null);
-      return mayGoOn && isExplained(puzzle, { part: i + 1, at: at + end, lastEvent: last });
+      const last = end === 0 ? lastEvent : lastEventIdOf(events);
+      const mayContinue = end === 0 || (hasValidHead && last !== null);
+      return mayContinue && canAssemble(match, { part: i + 1, at: at + end, lastEvent: last });
     });
   });
 }
 
 /**
- * Whether attempts explain what a caller got: a beginning of each that ends with an event, each next one told to go
- * on after it, and a whole stream only where the last attempt's is whole and was taken to its end. The first one's
- * head is that of the stream.
+ * Whether a received stream can be assembled from the parts that attempts sent. Each part contributes bytes from its
+ * start to the end of an event, and the next one must have been requested after the last of these events. The head
+ * must be that of the first part. A complete stream must end where a complete part ends.
  */
-export function explainsStream(
+export function canAssembleStream(
   parts: readonly FuzzStreamPart[],
-  got: FuzzStreamGot,
+  got: FuzzReceivedStream,
   callersLastEvent: string | null,
-  bearsHead: (answer: ReadAnswer) => boolean,
+  hasSameHead: (answer: ReadAnswer) => boolean,
 ): boolean {
-  const begin = { part: 0, at: 0, lastEvent: callersLastEvent };
-  return isExplained({ parts, got, bearsHead }, begin);
+  const start = { part: 0, at: 0, lastEvent: callersLastEvent };
+  return canAssemble({ parts, got, hasSameHead }, start);
 }
--- a/soak/SoakEngines.ts
+++ b/soak/SoakEngines.ts
@@ -73,7 +73,7 @@
   async crash(n: number, forMs: number, wait: (ms: number) => Promise<void>): Promise<void> {
     this.#engines.get(n)?.stop();
     await this.#setRefusing(n, true);
-    this.group.lockstep.reform();
+    this.group.lockstep.restart();
     await wait(forMs);
     await this.#startEngine(n);
   }
@@ -150,7 +150,7 @@
   /** Restarts an engine that a request crashed, unless it has been replaced meanwhile. */
   async #restart(n: number, crashed: StandInEngine): Promise<void> {
     await this.#setRefusing(n, true);
-    this.group.lockstep.reform();
+    this.group.lockstep.restart();
     await delay(RESTART_DELAY_MS);
     if (this.#engines.get(n) === crashed && !this.#isStopped) {
       await this.#startEngine(n);
--- a/soak/SoakRun.ts
+++ b/soak/SoakRun.ts
@@ -203,7 +203,7 @@
       fatalExecutions: this.#engines.receivedRequests.filter(({ body }) =>
         body.startsWith(FATAL_PREFIX),
       ),
-      mixedPasses: lockstep.mixed,
+      mixedPasses: lockstep.mixedPasses,
       ackedVersion: this.#operator.ackedVersion,
       readBackVersions,
       unexpectedExits: this.#unexpectedExits,
