--- a/bench/BenchControlCost.ts
+++ b/bench/BenchControlCost.ts
@@ -9,7 +9,7 @@
 import { benchEmpty, benchEndpoint, benchEntry } from './BenchControlNodes.js';
 import { FOLDER } from './BenchControlProcess.js';
 import { benchRoute, benchSubset } from './BenchControlPure.js';
-import { fitLine, inTurn, report } from './BenchReport.js';
+import { fitLine, runSequentially, report } from './BenchReport.js';
 
 /** Members and customers that an entry process knows. */
 const ENTRY_SIZES: readonly (readonly [number, number])[] = [
@@ -23,11 +23,11 @@
 
 type Points = readonly (readonly [number, number])[];
 
-function pick<T>(items: readonly T[], x: keyof T, y: keyof T): Points {
+function toPoints<T>(items: readonly T[], x: keyof T, y: keyof T): Points {
   return items.map((item) => [Number(item[x]), Number(item[y])]);
 }
 
-function slope(seed: number, of: string, per: string, points: Points): void {
+function reportSlope(seed: number, of: string, per: string, points: Points): void {
   report('control-cost', { case: 'slope', seed, of, per, points, ...fitLine(points) });
 }
 
@@ -38,33 +38,40 @@
   benchSubset(seed);
   const routes = [8, 33, 66, 132, 264].map((count) => benchRoute(count, seed));
   await benchEmpty(processes, seed);
-  const submits = await inTurn([70, 700, 2_000, 7_300], async (customers) =>
+  const submits = await runSequentially([70, 700, 2_000, 7_300], async (customers) =>
     benchSubmit(processes, customers, seed),
   );
-  const groups = await inTurn([0, 90, 180, 359], async (count) =>
+  const groups = await runSequentially([0, 90, 180, 359], async (count) =>
     benchGroups(processes, count, seed),
   );
-  const hubs = await inTurn([25, 100, 200, 350], async (count) => benchHub(processes, count, seed));
-  const entries = await inTurn(ENTRY_SIZES, async ([members, customers]) =>
+  const hubs = await runSequentially([25, 100, 200, 350], async (count) =>
+    benchHub(processes, count, seed),
+  );
+  const entries = await runSequentially(ENTRY_SIZES, async ([members, customers]) =>
     benchEntry(processes, members, customers, seed),
   );
   await benchEndpoint(processes, seed);
-  slope(seed, 'routing decision, us', 'endpoint of the service', routes);
-  slope(seed, 'submission, ms', 'customer', pick(submits, 'customers', 'medianMs'));
-  slope(seed, 'submission CPU, ms', 'customer', pick(submits, 'customers', 'cpuMs'));
-  slope(seed, 'leases CPU, % of a core', 'group', pick(groups, 'groups', 'cpuPercent'));
-  slope(seed, 'leases bytes/s', 'group', pick(groups, 'groups', 'bytesPerSecond'));
-  const attached = (name: string, value: keyof HubCost): void =>
-    slope(seed, name, 'process attached', pick(hubs, 'attached', value));
-  attached('hub idle CPU, % of a core', 'idleCpuPercent');
-  attached('hub idle bytes/s', 'idleBytesPerSecond');
-  attached('hub growth, MB', 'grownMb');
-  attached('hub CPU ms a change', 'cpuMsPerChange');
-  attached('hub in force, ms', 'inForceMs');
+  reportSlope(seed, 'routing decision, us', 'endpoint of the service', routes);
+  reportSlope(seed, 'submission, ms', 'customer', toPoints(submits, 'customers', 'medianMs'));
+  reportSlope(seed, 'submission CPU, ms', 'customer', toPoints(submits, 'customers', 'cpuMs'));
+  reportSlope(seed, 'leases CPU, % of a core', 'group', toPoints(groups, 'groups', 'cpuPercent'));
+  reportSlope(seed, 'leases bytes/s', 'group', toPoints(groups, 'groups', 'bytesPerSecond'));
+  const reportHubSlope = (name: string, value: keyof HubCost): void =>
+    reportSlope(seed, name, 'process attached', toPoints(hubs, 'attached', value));
+  reportHubSlope('hub idle CPU, % of a core', 'idleCpuPercent');
+  reportHubSlope('hub idle bytes/s', 'idleBytesPerSecond');
+  reportHubSlope('hub growth, MB', 'grownMb');
+  reportHubSlope('hub CPU ms a change', 'cpuMsPerChange');
+  reportHubSlope('hub in force, ms', 'inForceMs');
   const byCustomers = entries.filter(({ members }) => members === 10);
   const byMembers = entries.filter(({ customers }) => customers === 10);
-  slope(seed, 'entry resident, MB', 'customer', pick(byCustomers, 'customers', 'residentMb'));
-  slope(seed, 'entry resident, MB', 'member', pick(byMembers, 'members', 'residentMb'));
-  slope(seed, 'entry ready, ms', 'customer', pick(byCustomers, 'customers', 'readyMs'));
+  reportSlope(
+    seed,
+    'entry resident, MB',
+    'customer',
+    toPoints(byCustomers, 'customers', 'residentMb'),
+  );
+  reportSlope(seed, 'entry resident, MB', 'member', toPoints(byMembers, 'members', 'residentMb'));
+  reportSlope(seed, 'entry ready, ms', 'customer', toPoints(byCustomers, 'customers', 'readyMs'));
   await processes.stopAll(3_000);
 }
--- a/bench/BenchControlGroups.ts
+++ b/bench/BenchControlGroups.ts
@@ -1,10 +1,16 @@
 /** Cost of leases on groups at the control process that leads. */
 import type { QuickstartProcesses } from '../tools/QuickstartProcess.js';
-import { attach, bytesOf, startControl, submit, watchIdle } from './BenchControlProcess.js';
+import {
+  attachProcess,
+  bytesOf,
+  startControl,
+  submit,
+  measureIdle,
+} from './BenchControlProcess.js';
 import { range, report } from './BenchReport.js';
 
 /** A holder renews this often. In ms. */
-const RENEW_MS = 2_000;
+const RENEW_INTERVAL_MS = 2_000;
 
 /** What so many groups' leases cost. */
 export interface GroupsCost {
@@ -25,29 +31,29 @@
 ): Promise<GroupsCost> {
   const control = await startControl(processes);
   await submit(control, 10, 1);
-  const holder = await attach(control.port, 'endpoint', 0);
+  const holder = await attachProcess(control.port, 'endpoint', 0);
   const tokens = new Map<string, number>();
   const renew = async (group: string): Promise<void> => {
     const after = { token: tokens.get(group) ?? 0 };
-    const ask = { group, holder: 'bench', durationMs: 6_000, after, observe: false };
-    const reply = (await holder.link.request('lease.ask', ask)) as Reply;
+    const leaseRequest = { group, holder: 'bench', durationMs: 6_000, after, observe: false };
+    const reply = (await holder.link.request('lease.ask', leaseRequest)) as Reply;
     tokens.set(group, reply.lease?.token ?? 0);
   };
   const names = range(groups).map((i) => `group-${i}`);
   const timers = names.map((name, i) => {
     const start = setTimeout(
       () => {
-        timers.push(setInterval(async () => renew(name).catch(() => undefined), RENEW_MS));
+        timers.push(setInterval(async () => renew(name).catch(() => undefined), RENEW_INTERVAL_MS));
       },
-      (i * RENEW_MS) / Math.max(1, groups),
+      (i * RENEW_INTERVAL_MS) / Math.max(1, groups),
     );
     return start;
   });
   await Promise.all(names.map(renew));
   await new Promise((resolve) => {
-    setTimeout(resolve, RENEW_MS * 2);
+    setTimeout(resolve, RENEW_INTERVAL_MS * 2);
   });
-  const spent = await watchIdle(control.pid, () => bytesOf([holder]));
+  const spent = await measureIdle(control.pid, () => bytesOf([holder]));
   timers.forEach((timer) => clearTimeout(timer));
   holder.link.close();
   await processes.stop(control.name);
--- a/bench/BenchControlHub.ts
+++ b/bench/BenchControlHub.ts
@@ -2,11 +2,17 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { waitUntil } from '../tools/QuickstartCluster.js';
 import type { QuickstartProcesses } from '../tools/QuickstartProcess.js';
-import { attach, bytesOf, startControl, submit, watchIdle } from './BenchControlProcess.js';
-import { inTurn, range, readUsage, report, round } from './BenchReport.js';
+import {
+  attachProcess,
+  bytesOf,
+  startControl,
+  submit,
+  measureIdle,
+} from './BenchControlProcess.js';
+import { runSequentially, range, readUsage, report, round } from './BenchReport.js';
 
 const CHANGES = 20;
-const CHANGE_GAP_MS = 100;
+const CHANGE_PAUSE_MS = 100;
 const CUSTOMERS = 700;
 const SUBMISSIONS = 10;
 
@@ -43,25 +49,25 @@
   const roles = (i: number): 'entry' | 'endpoint' => (i % 4 === 0 ? 'entry' : 'endpoint');
   const joinedAt = performance.now();
   const all = await Promise.all(
-    Array.from({ length: count }, async (_item, i) => attach(control.port, roles(i), i)),
+    Array.from({ length: count }, async (_item, i) => attachProcess(control.port, roles(i), i)),
   );
   await waitUntil('all hold the configuration', 60_000, async () =>
     all.every(({ index }) => index > 0),
   );
   const joinMs = performance.now() - joinedAt;
   await delay(1_000);
-  const idle = await watchIdle(control.pid, () => bytesOf(all));
+  const idle = await measureIdle(control.pid, () => bytesOf(all));
   const before = await readUsage(control.pid);
   const bytesBefore = bytesOf(all);
   const changeAt = performance.now();
-  const latencies = await inTurn(range(CHANGES), async (i) => {
+  const latencies = await runSequentially(range(CHANGES), async (i) => {
     const sentAt = performance.now();
     const index = await submit(control, CUSTOMERS, 2 + i);
     await waitUntil('in force everywhere', 20_000, async () =>
       all.every((attached) => attached.index >= index),
     );
     const ms = Math.max(...all.map(({ appliedAt }) => appliedAt)) - sentAt;
-    await delay(CHANGE_GAP_MS);
+    await delay(CHANGE_PAUSE_MS);
     return ms;
   });
   const seconds = (performance.now() - changeAt) / 1000;
@@ -94,7 +100,7 @@
   const control = await startControl(processes);
   await submit(control, customers, 1);
   const before = await readUsage(control.pid);
-  const times = await inTurn(range(SUBMISSIONS), async (i) => {
+  const times = await runSequentially(range(SUBMISSIONS), async (i) => {
     const startedAt = performance.now();
     await submit(control, customers, 2 + i);
     return performance.now() - startedAt;
--- a/bench/BenchControlNodes.ts
+++ b/bench/BenchControlNodes.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { waitReady } from '../tools/QuickstartCluster.js';
 import { freePorts, type QuickstartProcesses } from '../tools/QuickstartProcess.js';
-import { attach, DAEMON, startControl, submit, watchIdle } from './BenchControlProcess.js';
+import { attachProcess, DAEMON, startControl, submit, measureIdle } from './BenchControlProcess.js';
 import { ZONES } from './BenchFixtures.js';
 import { readUsage, report, type ProcessUsage } from './BenchReport.js';
 
@@ -26,7 +26,9 @@
   await submit(control, customers, 1);
   const all = await Promise.all(
     // All in the entry process's own region, so that it is told of each.
-    Array.from({ length: members }, async (_item, i) => attach(control.port, 'endpoint', i * 33)),
+    Array.from({ length: members }, async (_item, i) =>
+      attachProcess(control.port, 'endpoint', i * 33),
+    ),
   );
   const [port = 0] = await freePorts(1);
   const http = `127.0.0.1:${port}`;
@@ -38,7 +40,7 @@
   await waitReady([http], 120_000);
   const readyMs = performance.now() - startedAt;
   await delay(2_000);
-  const idle = await watchIdle(child.pid ?? 0, () => 0);
+  const idle = await measureIdle(child.pid ?? 0, () => 0);
   const usage = await readUsage(child.pid ?? 0);
   const result: EntryCost = {
     members,
@@ -67,7 +69,7 @@
   ]);
   await waitReady([http]);
   await delay(2_000);
-  const idle = await watchIdle(child.pid ?? 0, () => 0);
+  const idle = await measureIdle(child.pid ?? 0, () => 0);
   const { residentMb } = await readUsage(child.pid ?? 0);
   report('control-cost', {
     case: 'endpoint',
--- a/bench/BenchControlProcess.ts
+++ b/bench/BenchControlProcess.ts
@@ -14,10 +14,10 @@
 export const FOLDER = fileURLToPath(new URL('../../.quickstart/control-cost', import.meta.url));
 /** The daemon's program. */
 export const DAEMON = fileURLToPath(new URL('../src/daemon/DaemonMain.js', import.meta.url));
-const IDLE_MS = 6_000;
+const IDLE_WINDOW_MS = 6_000;
 
 /** A control process started by the bench. */
-export interface Control {
+export interface ControlProcess {
   readonly name: string;
   readonly http: string;
   readonly link: string;
@@ -28,7 +28,7 @@
 let runs = 0;
 
 /** Starts the only control process of a cluster. */
-export async function startControl(processes: QuickstartProcesses): Promise<Control> {
+export async function startControl(processes: QuickstartProcesses): Promise<ControlProcess> {
   const [linkPort = 0, httpPort = 0] = await freePorts(2);
   const link = `127.0.0.1:${linkPort}`;
   const http = `127.0.0.1:${httpPort}`;
@@ -45,7 +45,7 @@
 
 /** Submits a manifest; its log index once it is accepted. */
 export async function submit(
-  { http }: Control,
+  { http }: ControlProcess,
   customers: number,
   version: number,
 ): Promise<number> {
@@ -61,18 +61,18 @@
 }
 
 /** One attached process, as far as its control process can tell. */
-export interface Attached {
+export interface AttachedProcess {
   readonly link: TransportLink;
   index: number;
   appliedAt: number;
 }
 
 /** Attaches a process that is a link and nothing more. */
-export async function attach(
+export async function attachProcess(
   port: number,
   role: 'entry' | 'endpoint',
   i: number,
-): Promise<Attached> {
+): Promise<AttachedProcess> {
   const socket = connect({ host: '127.0.0.1', port });
   await new Promise((resolve) => {
     socket.once('connect', resolve);
@@ -96,24 +96,24 @@
 }
 
 /** Bytes sent and received over all links. */
-export function bytesOf(all: readonly Attached[]): number {
+export function bytesOf(all: readonly AttachedProcess[]): number {
   return all.reduce((sum, { link }) => sum + link.bytes.sent + link.bytes.received, 0);
 }
 
 /** What a process spent. */
-export interface Spent {
+export interface IdleCost {
   readonly cpuPercent: number;
   readonly bytesPerSecond: number;
 }
 
 /** Account of a process over some idle time. */
-export async function watchIdle(pid: number, bytes: () => number): Promise<Spent> {
+export async function measureIdle(pid: number, bytes: () => number): Promise<IdleCost> {
   const before = await readUsage(pid);
   const bytesBefore = bytes();
-  await delay(IDLE_MS);
+  await delay(IDLE_WINDOW_MS);
   const after = await readUsage(pid);
   return {
-    cpuPercent: round(((after.cpuMs - before.cpuMs) / IDLE_MS) * 100),
-    bytesPerSecond: round((bytes() - bytesBefore) / (IDLE_MS / 1000)),
+    cpuPercent: round(((after.cpuMs - before.cpuMs) / IDLE_WINDOW_MS) * 100),
+    bytesPerSecond: round((bytes() - bytesBefore) / (IDLE_WINDOW_MS / 1000)),
   };
 }
--- a/bench/BenchOverhead.ts
+++ b/bench/BenchOverhead.ts
@@ -19,7 +19,7 @@
 const TOKENS = 1_000;
 const TOKEN_MS = 5;
 
-interface Sent {
+interface RequestTiming {
   readonly ms: number;
   readonly events: number;
   readonly gaps: readonly number[];
@@ -29,7 +29,12 @@
   return chunk.toString('latin1').split('\n\n').length - 1;
 }
 
-async function send(agent: Agent, address: string, tokens: number, stream: boolean): Promise<Sent> {
+async function send(
+  agent: Agent,
+  address: string,
+  tokens: number,
+  stream: boolean,
+): Promise<RequestTiming> {
   const startedAt = performance.now();
   const response = await agent.request({
     origin: `http://${address}`,
@@ -70,12 +75,12 @@
   return parts.flat();
 }
 
-interface Streamed {
+interface StreamTiming {
   readonly eventsPerSecond: number;
   readonly gaps: Readonly<Record<string, number>>;
 }
 
-async function benchStreams(agent: Agent, address: string): Promise<Streamed> {
+async function benchStreams(agent: Agent, address: string): Promise<StreamTiming> {
   const startedAt = performance.now();
   const all = await Promise.all(
     Array.from({ length: STREAMS }, async () => send(agent, address, TOKENS, true)),
--- a/bench/BenchPlacement.ts
+++ b/bench/BenchPlacement.ts
@@ -18,8 +18,8 @@
 const STEPS = 100;
 const STEP_MS = 8;
 /** Copying an expert at the store's rate, as step time lost to it, ms. */
-const MOVE_MS = 40;
-const LIFE_STEPS = 2_000;
+const MOVE_COST_MS = 40;
+const STABLE_STEPS = 2_000;
 const THRESHOLD = 1.15;
 const SLOTS = 6;
 
@@ -35,7 +35,7 @@
 ];
 
 /** What a policy knows when it decides for the interval that comes. */
-interface Seen {
+interface PolicyInput {
   readonly map: PlacementMap;
   readonly estimate: PlacementEstimate;
   readonly counts: readonly number[];
@@ -44,15 +44,15 @@
   readonly speeds: readonly number[];
 }
 
-type Policy = (seen: Seen) => PlacementMap;
+type Policy = (seen: PolicyInput) => PlacementMap;
 
-function ours(skewWeight: number): Policy {
+function placementCore(skewWeight: number): Policy {
   return ({ map, estimate, ranks, speeds }) =>
     decidePlacement(map, estimate, {
       skewWeight,
       stepMs: STEP_MS,
-      stableSteps: LIFE_STEPS,
-      moveMs: MOVE_MS,
+      stableSteps: STABLE_STEPS,
+      moveMs: MOVE_COST_MS,
       maxMoves: ranks,
       speeds,
     }).map;
@@ -71,8 +71,8 @@
       : seen.map;
   },
   'clairvoyant greedy': ({ next, ranks, speeds }) => solveGreedily(next, ranks, SLOTS, speeds),
-  'ours, skew 0.8': ours(0.8),
-  'ours, skew 0.2': ours(0.2),
+  'ours, skew 0.8': placementCore(0.8),
+  'ours, skew 0.2': placementCore(0.2),
 };
 
 interface Outcome {
@@ -157,7 +157,9 @@
       case: 'policy',
       seed,
       ...point,
-      stepTimeLostToMovesPercent: round((100 * moves * MOVE_MS) / (INTERVALS * STEPS * STEP_MS)),
+      stepTimeLostToMovesPercent: round(
+        (100 * moves * MOVE_COST_MS) / (INTERVALS * STEPS * STEP_MS),
+      ),
       ...(scenario === 'shift' ? { intervalsToRecover: round(mean(recover)) } : {}),
       decideMsPerLayer: round(mean(runs.map((run) => run.decideMs)) / INTERVALS),
     });
--- a/bench/BenchPlacementBaselines.ts
+++ b/bench/BenchPlacementBaselines.ts
@@ -3,9 +3,9 @@
 
 /** Experts laid out in order, and the spare slots with the experts that follow. */
 export function staticMap(ranks: number, experts: number, slots: number): PlacementMap {
-  const each = experts / ranks;
+  const expertsPerRank = experts / ranks;
   return Array.from({ length: ranks }, (_rank, rank) =>
-    Array.from({ length: slots }, (_slot, slot) => (rank * each + slot) % experts),
+    Array.from({ length: slots }, (_slot, slot) => (rank * expertsPerRank + slot) % experts),
   );
 }
 
@@ -31,21 +31,21 @@
     .sort((a, b) => share(b) - share(a));
   const rows: number[][] = Array.from({ length: ranks }, () => []);
   const loads = rows.map(() => 0);
-  const put = (expert: number): void => {
-    const fits = (rank: number, again: boolean): boolean =>
-      (rows[rank]?.length ?? 0) < slots && (again || !rows[rank]?.includes(expert));
-    const open = (again: boolean): number =>
+  const place = (expert: number): void => {
+    const fits = (rank: number, allowDuplicate: boolean): boolean =>
+      (rows[rank]?.length ?? 0) < slots && (allowDuplicate || !rows[rank]?.includes(expert));
+    const leastLoaded = (allowDuplicate: boolean): number =>
       loads.reduce(
         (best, at, rank) =>
-          fits(rank, again) && (best < 0 || at < (loads[best] ?? 0)) ? rank : best,
+          fits(rank, allowDuplicate) && (best < 0 || at < (loads[best] ?? 0)) ? rank : best,
         -1,
       );
-    const chosen = open(false);
-    const rank = chosen < 0 ? open(true) : chosen;
+    const chosen = leastLoaded(false);
+    const rank = chosen < 0 ? leastLoaded(true) : chosen;
     rows[rank]?.push(expert);
     loads[rank] = (loads[rank] ?? 0) + share(expert) / (speeds[rank] ?? 1);
   };
-  items.forEach(put);
+  items.forEach(place);
   return rows;
 }
 
--- a/bench/BenchPlan.ts
+++ b/bench/BenchPlan.ts
@@ -6,7 +6,7 @@
   recordCounts,
   type ExpertCounts,
 } from '../src/coordination/index.js';
-import { firstMap, PLAN_SIZES, planLoad, type PlanSize } from './BenchPlanLoad.js';
+import { initialMap, PLAN_SIZES, makeDemand, type PlanSize } from './BenchPlanLoad.js';
 import { quantiles, range, report, round } from './BenchReport.js';
 
 const INTERVALS = 48;
@@ -14,7 +14,7 @@
 const SEEDS = 3;
 
 /** A plan that takes less off the skew than this is not carried out. */
-const LEAST_GAIN = 0.1;
+const MIN_GAIN = 0.1;
 
 /** What the plans of one seed took and reached. */
 export interface PlanRun {
@@ -36,7 +36,7 @@
   seed: number,
   clock: () => number = () => performance.now(),
 ): PlanRun {
-  let map = firstMap(size);
+  let map = initialMap(size);
   let totals: ExpertCounts = range(size.sets).map(() => range(size.experts).map(() => 0));
   let demand = recordCounts(initDemand(1), [totals]);
   const planMs: number[] = [];
@@ -44,19 +44,19 @@
   const skewBefore: number[] = [];
   const skewAfter: number[] = [];
   let copies = 0;
-  planLoad(size, INTERVALS, seed).forEach((counts) => {
+  makeDemand(size, INTERVALS, seed).forEach((counts) => {
     totals = add(totals, counts);
     demand = recordCounts(demand, [totals]);
     const weights = expectedLoad(demand) ?? [];
     const startedAt = clock();
     const planned = planMap(map, weights, size.shape, size.policy);
-    const took = clock() - startedAt;
-    planMs.push(took);
-    const isUsed = planned.skewBefore - planned.skewAfter >= LEAST_GAIN;
+    const elapsedMs = clock() - startedAt;
+    planMs.push(elapsedMs);
+    const isUsed = planned.skewBefore - planned.skewAfter >= MIN_GAIN;
     skewBefore.push(planned.skewBefore);
     skewAfter.push(isUsed ? planned.skewAfter : planned.skewBefore);
     copies += isUsed ? planned.copies : 0;
-    changeMs.push(...(isUsed ? [took] : []));
+    changeMs.push(...(isUsed ? [elapsedMs] : []));
     map = isUsed ? planned.map : map;
   });
   return { planMs, changeMs, skewBefore, skewAfter, copies };
--- a/bench/BenchPlanLoad.ts
+++ b/bench/BenchPlanLoad.ts
@@ -29,7 +29,7 @@
 }));
 
 /** Experts in turn over the ranks, each once. */
-export function firstMap({ ranks, experts, sets }: PlanSize): GroupMap {
+export function initialMap({ ranks, experts, sets }: PlanSize): GroupMap {
   return range(sets).map(() =>
     range(ranks).map((rank) =>
       range(Math.ceil(experts / ranks))
@@ -40,10 +40,10 @@
 }
 
 /** Intervals from one shift to the next. */
-const SHIFT_EVERY = 8;
+const SHIFT_INTERVALS = 8;
 
 /** Part of the demand that a shift moves to other experts. */
-const SHIFTED = 0.65;
+const SHIFTED_SHARE = 0.65;
 
 /** Spread of one interval's change of an expert's demand. */
 const DRIFT = 0.05;
@@ -54,7 +54,7 @@
 /** Exponent of the demand by rank of popularity. */
 const EXPONENT = 0.8;
 
-function topic(experts: number, rng: RandomGenerator): readonly number[] {
+function drawPopularity(experts: number, rng: RandomGenerator): readonly number[] {
   const keyed = range(experts).map((expert) => ({ expert, key: uniformFloat64(rng) }));
   const weights = range(experts).map(() => 0);
   keyed
@@ -66,7 +66,7 @@
 }
 
 /** Choices of one interval; the noise has the spread of counts. */
-function count(weights: readonly number[], rng: RandomGenerator): readonly number[] {
+function drawCounts(weights: readonly number[], rng: RandomGenerator): readonly number[] {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => {
     const expected = (weight / total) * CHOICES;
@@ -76,22 +76,22 @@
 }
 
 /** Choices of each interval, by set and expert. */
-export function planLoad(
+export function makeDemand(
   { experts, sets }: PlanSize,
   intervals: number,
   seed: number,
 ): readonly (readonly (readonly number[])[])[] {
   const rng = xoroshiro128plus(seed);
-  let demand = range(sets).map(() => topic(experts, rng));
+  let demand = range(sets).map(() => drawPopularity(experts, rng));
   return range(intervals).map((t) => {
-    const shifts = t > 0 && t % SHIFT_EVERY === 0;
+    const shifts = t > 0 && t % SHIFT_INTERVALS === 0;
     demand = demand.map((weights) => {
-      const next = shifts ? topic(experts, rng) : weights;
+      const next = shifts ? drawPopularity(experts, rng) : weights;
       return weights.map((weight, e) => {
-        const moved = (1 - SHIFTED) * weight + SHIFTED * (next[e] ?? 0);
+        const moved = (1 - SHIFTED_SHARE) * weight + SHIFTED_SHARE * (next[e] ?? 0);
         return moved * Math.exp(DRIFT * (uniformFloat64(rng) * 2 - 1));
       });
     });
-    return demand.map((weights) => count(weights, rng));
+    return demand.map((weights) => drawCounts(weights, rng));
   });
 }
--- a/bench/BenchQuarantine.ts
+++ b/bench/BenchQuarantine.ts
@@ -9,10 +9,10 @@
 } from '../src/coordination/index.js';
 import { digestRequest } from '../src/protocol/index.js';
 import { report, round } from './BenchReport.js';
-import { playQuarantine } from './BenchQuarantineModel.js';
+import { simulateQuarantine } from './BenchQuarantineModel.js';
 
 const IN_PROGRESS = [1, 10, 100];
-const MOST_ENDS = [2, 3, Infinity];
+const QUARANTINE_CRASHES = [2, 3, Infinity];
 const SEEDS = 5;
 
 const BODY_BYTES = [0, 1_024, 65_536, 4_194_304];
@@ -20,19 +20,19 @@
 function benchNeighbours(seed: number): void {
   [true, false].forEach((isGroup) => {
     IN_PROGRESS.forEach((inProgress) => {
-      MOST_ENDS.forEach((mostEnds) => {
-        const shape = { endpoints: 12, isGroup, inProgress, guilty: 2, ownEnds: 1 };
-        const played = Array.from({ length: SEEDS }, (_item, i) =>
-          playQuarantine(shape, mostEnds, seed + i),
+      QUARANTINE_CRASHES.forEach((quarantineCrashes) => {
+        const shape = { endpoints: 12, isGroup, inProgress, fatalRequests: 2, ownEnds: 1 };
+        const outcomes = Array.from({ length: SEEDS }, (_item, i) =>
+          simulateQuarantine(shape, quarantineCrashes, seed + i),
         );
-        const sum = (key: keyof (typeof played)[number]): number =>
-          played.reduce((total, outcome) => total + outcome[key], 0);
+        const sum = (key: keyof (typeof outcomes)[number]): number =>
+          outcomes.reduce((total, outcome) => total + outcome[key], 0);
         report('quarantine-neighbours', {
           seed,
           runs: SEEDS,
           isGroup,
           inProgress,
-          mostEnds: String(mostEnds),
+          mostEnds: String(quarantineCrashes),
           ends: sum('ends'),
           ownEnds: sum('ownEnds'),
           innocent: sum('innocent'),
@@ -45,7 +45,7 @@
 }
 
 /** Median time of a task, microseconds. */
-function timeOf(task: () => void): number {
+function medianUs(task: () => void): number {
   const times = Array.from({ length: 101 }, () => {
     const begun = performance.now();
     task();
@@ -58,7 +58,7 @@
   BODY_BYTES.forEach((bytes) => {
     const body = Buffer.alloc(bytes, 'x');
     const identity = { customer: 'kano', method: 'POST', host: 'desk.example', path: '/a/b', body };
-    report('quarantine-digest', { seed, bytes, us: timeOf(() => digestRequest(identity)) });
+    report('quarantine-digest', { seed, bytes, us: medianUs(() => digestRequest(identity)) });
   });
   const lost = Array.from({ length: MAX_SUSPECTS }, (_item, i) => {
     const digest = i.toString(16).padStart(32, '0');
@@ -71,8 +71,8 @@
     seed,
     suspects: state.size,
     bytes: JSON.stringify(records).length,
-    hashUs: timeOf(() => hashQuarantine(state)),
-    mergeUs: timeOf(() => mergeSuspectRecords(state, records, 0)),
+    hashUs: medianUs(() => hashQuarantine(state)),
+    mergeUs: medianUs(() => mergeSuspectRecords(state, records, 0)),
   });
 }
 
--- a/bench/BenchQuarantineModel.ts
+++ b/bench/BenchQuarantineModel.ts
@@ -17,7 +17,7 @@
   /** Requests in progress at each endpoint. */
   readonly inProgress: number;
   /** Different requests that end endpoints. */
-  readonly guilty: number;
+  readonly fatalRequests: number;
   /** Endpoints that end for a reason of their own, a minute. */
   readonly ownEnds: number;
 }
@@ -35,25 +35,25 @@
 }
 
 const STEP_MS = 100;
-const LENGTH_MS = 120_000;
+const DURATION_MS = 120_000;
 const RUN_MS = 1_500;
-const DOWN_MS = 4_000;
+const RESTART_MS = 4_000;
 /** A caller that lost its request sends it again within this, so often at most; a guilty one comes this often. In ms. */
-const RETURN_MS = 2_500;
-const MOST_RETURNS = 4;
-const GUILTY_MS = 1_000;
+const RETRY_WINDOW_MS = 2_500;
+const MAX_RETRIES = 4;
+const FATAL_INTERVAL_MS = 1_000;
 
-interface Item {
+interface ModelRequest {
   readonly digest: string;
-  readonly isGuilty: boolean;
+  readonly isFatal: boolean;
   /** How often it was sent before. */
-  readonly returns: number;
+  readonly retries: number;
   readonly endAt: number;
 }
 
-interface Returning {
+interface PendingRetry {
   readonly digest: string;
-  readonly returns: number;
+  readonly retries: number;
   readonly at: number;
 }
 
@@ -61,17 +61,17 @@
 class QuarantineModel {
   readonly #shape: QuarantineShape;
 
-  readonly #mostEnds: number;
+  readonly #quarantineCrashes: number;
 
   readonly #random: () => number;
 
-  readonly #running: Item[][];
+  readonly #running: ModelRequest[][];
 
   readonly #downUntil: number[];
 
-  readonly #life: number[];
+  readonly #incarnations: number[];
 
-  #returning: readonly Returning[] = [];
+  #pendingRetries: readonly PendingRetry[] = [];
 
   #state: QuarantineState = EMPTY_QUARANTINE;
 
@@ -82,46 +82,46 @@
   constructor(shape: QuarantineShape, mostEnds: number, seed: number) {
     const rng = xoroshiro128plus(seed);
     this.#shape = shape;
-    this.#mostEnds = mostEnds;
+    this.#quarantineCrashes = mostEnds;
     this.#random = () => uniformFloat64(rng);
     this.#running = Array.from({ length: shape.endpoints }, () => []);
     this.#downUntil = Array.from({ length: shape.endpoints }, () => 0);
-    this.#life = Array.from({ length: shape.endpoints }, () => 1);
+    this.#incarnations = Array.from({ length: shape.endpoints }, () => 1);
   }
 
-  play(): QuarantineOutcome {
-    for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
+  run(): QuarantineOutcome {
+    for (let now = 0; now < DURATION_MS; now += STEP_MS) {
       this.#step(now);
     }
     return { ...this.#count };
   }
 
   #step(now: number): void {
-    const { endpoints, guilty, ownEnds } = this.#shape;
-    this.#running.forEach((_items, at) => this.#finish(at, now));
-    const due = this.#returning.filter((item) => item.at <= now);
-    this.#returning = this.#returning.filter((item) => item.at > now);
-    due.forEach(({ digest, returns }) => this.#send({ digest, isGuilty: false, returns }, now));
-    if (now % GUILTY_MS === 0) {
-      Array.from({ length: guilty }, (_item, i) => `guilty-${i}`).forEach((digest) =>
-        this.#send({ digest, isGuilty: true, returns: 0 }, now),
+    const { endpoints, fatalRequests, ownEnds } = this.#shape;
+    this.#running.forEach((_items, at) => this.#completeRequests(at, now));
+    const due = this.#pendingRetries.filter((item) => item.at <= now);
+    this.#pendingRetries = this.#pendingRetries.filter((item) => item.at > now);
+    due.forEach(({ digest, retries }) => this.#send({ digest, isFatal: false, retries }, now));
+    if (now % FATAL_INTERVAL_MS === 0) {
+      Array.from({ length: fatalRequests }, (_item, i) => `guilty-${i}`).forEach((digest) =>
+        this.#send({ digest, isFatal: true, retries: 0 }, now),
       );
     }
     this.#fill(now);
     this.#running.forEach((items, at) => {
-      if (items.some(({ isGuilty }) => isGuilty)) {
+      if (items.some(({ isFatal }) => isFatal)) {
         this.#count.ends += 1;
-        this.#end(at, now);
+        this.#crash(at, now);
       }
     });
     if (this.#random() < (ownEnds * STEP_MS) / 60_000) {
       this.#count.ownEnds += 1;
-      this.#end(Math.floor(this.#random() * endpoints), now);
+      this.#crash(Math.floor(this.#random() * endpoints), now);
     }
   }
 
   /** Requests that are answered whole clear themselves. */
-  #finish(at: number, now: number): void {
+  #completeRequests(at: number, now: number): void {
     const items = this.#running[at] ?? [];
     items
       .filter(({ endAt }) => endAt <= now)
@@ -142,7 +142,7 @@
         this.#count.innocent += 1;
         // The first of all begin at different times.
         const endAt = now + RUN_MS * (now === 0 ? this.#random() : 1);
-        items.push({ digest: `r${this.#counter}`, isGuilty: false, returns: 0, endAt });
+        items.push({ digest: `r${this.#counter}`, isFatal: false, retries: 0, endAt });
       }
     });
   }
@@ -153,30 +153,30 @@
       : (this.#downUntil[at] ?? 0) <= now;
   }
 
-  #send(item: Omit<Item, 'endAt'>, now: number): void {
+  #send(item: Omit<ModelRequest, 'endAt'>, now: number): void {
     const suspect = this.#state.get(item.digest);
-    if (suspect !== undefined && crashCount(suspect) >= this.#mostEnds) {
-      this.#count.wronglyHeld += item.isGuilty ? 0 : 1;
+    if (suspect !== undefined && crashCount(suspect) >= this.#quarantineCrashes) {
+      this.#count.wronglyHeld += item.isFatal ? 0 : 1;
       return;
     }
     const up = this.#running.flatMap((_items, at) => (this.#isUp(at, now) ? [at] : []));
     const at = up[Math.floor(this.#random() * up.length)];
     if (at === undefined) {
-      this.#comeBack([item], now);
+      this.#scheduleRetries([item], now);
       return;
     }
     this.#running[at]?.push({ ...item, endAt: now + RUN_MS });
   }
 
-  #end(at: number, now: number): void {
+  #crash(at: number, now: number): void {
     const items = this.#running[at] ?? [];
-    const life = `${at}@${this.#life[at] ?? 0}`;
+    const incarnationKey = `${at}@${this.#incarnations[at] ?? 0}`;
     const suspects = items.map(({ digest }) => ({ digest, customer: '', request: digest }));
-    this.#state = recordSuspects(this.#state, life, suspects, now).state;
-    this.#life[at] = (this.#life[at] ?? 0) + 1;
-    this.#downUntil[at] = now + DOWN_MS;
+    this.#state = recordSuspects(this.#state, incarnationKey, suspects, now).state;
+    this.#incarnations[at] = (this.#incarnations[at] ?? 0) + 1;
+    this.#downUntil[at] = now + RESTART_MS;
     const dropped = this.#shape.isGroup ? this.#running.flat() : items;
-    this.#comeBack(dropped, now + DOWN_MS);
+    this.#scheduleRetries(dropped, now + RESTART_MS);
     this.#running.forEach((_items, i) => {
       if (this.#shape.isGroup || i === at) {
         this.#running[i] = [];
@@ -185,24 +185,24 @@
   }
 
   /** Callers of requests that were lost or found no endpoint return, unless they have given up. */
-  #comeBack(items: readonly Omit<Item, 'endAt'>[], from: number): void {
-    const innocent = items.filter(({ isGuilty }) => !isGuilty);
-    const back = innocent.filter(({ returns }) => returns < MOST_RETURNS);
+  #scheduleRetries(items: readonly Omit<ModelRequest, 'endAt'>[], from: number): void {
+    const innocent = items.filter(({ isFatal }) => !isFatal);
+    const back = innocent.filter(({ retries }) => retries < MAX_RETRIES);
     this.#count.lost += innocent.length - back.length;
-    const returning = back.map(({ digest, returns }) => ({
+    const pendingRetries = back.map(({ digest, retries }) => ({
       digest,
-      returns: returns + 1,
-      at: from + RETURN_MS * this.#random(),
+      retries: retries + 1,
+      at: from + RETRY_WINDOW_MS * this.#random(),
     }));
-    this.#returning = [...this.#returning, ...returning];
+    this.#pendingRetries = [...this.#pendingRetries, ...pendingRetries];
   }
 }
 
 /** Plays two minutes; requests with so many ends are sent to no endpoint. */
-export function playQuarantine(
+export function simulateQuarantine(
   shape: QuarantineShape,
   mostEnds: number,
   seed: number,
 ): QuarantineOutcome {
-  return new QuarantineModel(shape, mostEnds, seed).play();
+  return new QuarantineModel(shape, mostEnds, seed).run();
 }
--- a/bench/BenchRecovery.ts
+++ b/bench/BenchRecovery.ts
@@ -6,7 +6,7 @@
 import { diffEntries, flattenManifest } from '../src/state/index.js';
 import { QuickstartCluster, waitReady, waitUntil } from '../tools/QuickstartCluster.js';
 import { makeManifest } from './BenchFixtures.js';
-import { inTurn, quantiles, range, report, round } from './BenchReport.js';
+import { runSequentially, quantiles, range, report, round } from './BenchReport.js';
 
 const FOLDER = fileURLToPath(new URL('../../.quickstart/recovery', import.meta.url));
 const ZONES = ['az-1', 'az-4', 'az-7'] as const;
@@ -35,7 +35,7 @@
   return response.statusCode === 200;
 }
 
-async function untilInForce(address: string, processes: number): Promise<void> {
+async function waitInForce(address: string, processes: number): Promise<void> {
   await waitUntil('in force everywhere', 20_000, async () => {
     const { inForce, live } = await status(address);
     return inForce === processes && live === processes;
@@ -45,7 +45,7 @@
 /** Kills the leader; ms until another accepts a change. */
 async function killLeader(cluster: QuickstartCluster, version: number): Promise<number> {
   const { controls } = cluster.addresses;
-  const names = ZONES.map((zone) => QuickstartCluster.controlOf(zone));
+  const names = ZONES.map((zone) => QuickstartCluster.controlName(zone));
   const rows = (await status(controls[0] ?? '')).controls;
   const leader = rows.find(({ role }) => role === 'leader')?.name ?? '';
   const other = controls[names.findIndex((name) => name !== leader)] ?? '';
@@ -81,11 +81,11 @@
     await submit(first, 1);
     await waitReady(cluster.addresses.entries);
     const processes = cluster.addresses.entries.length + ZONES.length;
-    await untilInForce(first, processes);
-    const inForceMs = await inTurn(range(CHANGES), async (i) => {
+    await waitInForce(first, processes);
+    const inForceMs = await runSequentially(range(CHANGES), async (i) => {
       const sentAt = performance.now();
       await submit(first, 2 + i);
-      await untilInForce(first, processes);
+      await waitInForce(first, processes);
       return performance.now() - sentAt;
     });
     const from = flattenManifest(makeManifest(CUSTOMERS, 1));
@@ -103,7 +103,7 @@
       wholeBytes,
       ratio: round(wholeBytes / deltaBytes),
     });
-    const leaderMs = await inTurn(range(KILLS), async (i) => killLeader(cluster, 100 + i));
+    const leaderMs = await runSequentially(range(KILLS), async (i) => killLeader(cluster, 100 + i));
     report('recovery', { case: 'new leader accepts', seed, kills: KILLS, ms: quantiles(leaderMs) });
   } finally {
     await cluster.processes.stopAll(3_000);
--- a/bench/BenchReport.ts
+++ b/bench/BenchReport.ts
@@ -66,7 +66,7 @@
 }
 
 /** Runs an asynchronous task for each item, one after another. */
-export async function inTurn<T, R>(
+export async function runSequentially<T, R>(
   items: readonly T[],
   task: (item: T, i: number) => Promise<R>,
 ): Promise<readonly R[]> {
--- a/bench/BenchRouting.ts
+++ b/bench/BenchRouting.ts
@@ -1,7 +1,7 @@
 /** How evenly entry hosts spread requests over ranks that they see late, against usual policies. */
 import { chooseRank, workAt, type GroupSlots } from '../src/coordination/index.js';
 import { report, round } from './BenchReport.js';
-import { playRouting, ROUTING_SHAPES, type RoutingPolicy } from './BenchRoutingModel.js';
+import { simulateRouting, ROUTING_SHAPES, type RoutingPolicy } from './BenchRoutingModel.js';
 
 function listRanks(groups: readonly GroupSlots[]): readonly string[] {
   return groups.flatMap(({ ranks }) => ranks.map(({ endpoint }) => endpoint));
@@ -50,7 +50,7 @@
 export async function benchRouting(seed: number): Promise<void> {
   Object.entries(ROUTING_SHAPES).forEach(([shape, size]) => {
     Object.entries(POLICIES).forEach(([policy, make]) => {
-      const { maxOverMean, queued, remote } = playRouting(size, make(), seed);
+      const { maxOverMean, queued, remote } = simulateRouting(size, make(), seed);
       report('routing', {
         seed,
         shape,
--- a/bench/BenchRoutingModel.ts
+++ b/bench/BenchRoutingModel.ts
@@ -32,7 +32,7 @@
 }
 
 /** What a policy came to. */
-export interface RoutingFigures {
+export interface RoutingOutcome {
   /** Fullest over mean rank, averaged over time. */
   readonly maxOverMean: number;
   /** Part of the requests that met a rank without a free slot. */
@@ -43,10 +43,10 @@
 
 const ZONES = 3;
 const STEP_MS = 5;
-const REPORT_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 const REPORT_LAG_MS = 150;
-const SETTLED_MS = 5_000;
-const LENGTH_MS = 30_000;
+const WARMUP_MS = 5_000;
+const DURATION_MS = 30_000;
 
 /** Mean time that a request runs: 23 events, 70 ms apart; it varies from 0.3 to 1.7 of that. */
 const RUN_MS = 1_600;
@@ -74,7 +74,7 @@
   readonly own: Map<string, number>;
 }
 
-interface Running {
+interface RunningRequest {
   readonly until: number;
   readonly host: Host;
   readonly endpoint: string;
@@ -101,13 +101,13 @@
 
   readonly #random: () => number;
 
-  readonly #rules: SlotParameters;
+  readonly #parameters: SlotParameters;
 
   readonly #hosts: readonly Host[];
 
   readonly #active = new Map<string, number>();
 
-  #running: readonly Running[] = [];
+  #running: readonly RunningRequest[] = [];
 
   #snapshots: readonly Snapshot[] = [];
 
@@ -123,7 +123,7 @@
     this.#policy = policy;
     this.#random = () => uniformFloat64(rng);
     const costs = { ...COSTS, slots: shape.slots };
-    this.#rules = { costs, pauseMs: 120, entryHosts: shape.hosts };
+    this.#parameters = { costs, pauseMs: 120, entryHosts: shape.hosts };
     const groups = range(shape.groups).map((group) =>
       initGroupSlots(
         `${group}`,
@@ -132,7 +132,7 @@
           rank,
           zone: `z${rank % ZONES}`,
         })),
-        this.#rules,
+        this.#parameters,
       ),
     );
     // Callers are bound to hosts by a hash, so that some get three times what others get.
@@ -144,13 +144,13 @@
     }));
   }
 
-  run(): RoutingFigures {
+  run(): RoutingOutcome {
     const samples: number[] = [];
-    for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
-      this.#end(now);
+    for (let now = 0; now < DURATION_MS; now += STEP_MS) {
+      this.#completeRequests(now);
       this.#report(now);
       this.#arrive(now);
-      if (now > SETTLED_MS) {
+      if (now > WARMUP_MS) {
         samples.push(this.#maxOverMean());
       }
     }
@@ -168,7 +168,7 @@
     return mean === 0 ? 1 : Math.max(...all) / mean;
   }
 
-  #end(now: number): void {
+  #completeRequests(now: number): void {
     this.#running = this.#running.filter(({ until, host, endpoint }) => {
       if (until > now) {
         return true;
@@ -180,7 +180,7 @@
   }
 
   #report(now: number): void {
-    if (now % REPORT_MS === 0) {
+    if (now % REPORT_INTERVAL_MS === 0) {
       this.#snapshots = [...this.#snapshots, { at: now, active: new Map(this.#active) }];
     }
     const [oldest] = this.#snapshots;
@@ -203,7 +203,7 @@
           passMs: 70,
           skew: 1.2,
         };
-        return applyGroupLoad(state, load, host.own, this.#rules, now, this.#random());
+        return applyGroupLoad(state, load, host.own, this.#parameters, now, this.#random());
       });
     });
   }
@@ -243,11 +243,11 @@
 }
 
 /** Plays a policy on a shape. */
-export function playRouting(
+export function simulateRouting(
   shape: RoutingShape,
   policy: RoutingPolicy,
   seed: number,
-): RoutingFigures {
+): RoutingOutcome {
   return new RoutingModel(shape, policy, seed).run();
 }
 
--- a/bench/__tests__/unit/BenchRouting.test.ts
+++ b/bench/__tests__/unit/BenchRouting.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { chooseRank } from '../../../src/coordination/index.js';
-import { playRouting, ROUTING_SHAPES, type RoutingShape } from '../../BenchRoutingModel.js';
+import { simulateRouting, ROUTING_SHAPES, type RoutingShape } from '../../BenchRoutingModel.js';
 
-function play(name: string): ReturnType<typeof playRouting> {
+function play(name: string): ReturnType<typeof simulateRouting> {
   const shape = ROUTING_SHAPES[name] as RoutingShape;
-  return playRouting(shape, (g, own, zone, random) => chooseRank(g, own, zone, [], random), 1);
+  return simulateRouting(shape, (g, own, zone, random) => chooseRank(g, own, zone, [], random), 1);
 }
 
 describe('choice of a rank by many entry hosts', () => {
--- a/spec/SpecConsensus.ts
+++ b/spec/SpecConsensus.ts
@@ -39,7 +39,7 @@
   /** What a leader has told callers to be accepted. */
   readonly committed: readonly Entry[];
   /** Term in which the newest of them was. */
-  readonly committedIn: number;
+  readonly committedTerm: number;
   readonly broken: readonly string[];
   readonly wiped: boolean;
   readonly crashes: number;
@@ -64,13 +64,13 @@
   readonly start?: 'empty' | 'after two terms' | 'after one commit';
 }
 
-const START_VOTERS = 'abc';
+const INITIAL_VOTERS = 'abc';
 
 /** The steps of a replacement: one voter at a time, or (mutant) both at once. */
-const CHANGES: Readonly<Record<string, string>> = { abc: 'abcd', abcd: 'abd' };
+const VOTER_CHANGES: Readonly<Record<string, string>> = { abc: 'abcd', abcd: 'abd' };
 
 function votersOf(log: readonly Entry[]): string {
-  return log.findLast(({ v }) => v !== undefined)?.v ?? START_VOTERS;
+  return log.findLast(({ v }) => v !== undefined)?.v ?? INITIAL_VOTERS;
 }
 
 function isQuorum(voters: string, ids: readonly string[]): boolean {
@@ -121,7 +121,7 @@
   return Object.fromEntries(Object.entries(acks).sort(([a], [b]) => (a < b ? -1 : 1)));
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
   /** Votes for oneself in a new term. */
@@ -146,7 +146,7 @@
     const broken = known.leader !== '' && known.leader !== id ? ['two leaders in a term'] : [];
     const { log } = replicaOf(state, id);
     // A leader of an older term that wakes late can't undo anything: it needn't know.
-    const lost = term > state.committedIn && state.committed.some(({ t }, i) => log[i]?.t !== t);
+    const lost = term > state.committedTerm && state.committed.some(({ t }, i) => log[i]?.t !== t);
     const next = setTerm(state, term, { leader: id, leading: true, log, acks: { [id]: 0 } });
     return {
       ...next,
@@ -154,16 +154,16 @@
     };
   },
   /** Appends an entry of its own; `n` 1 changes the voters. */
-  append: (state, { id, term, n = 0 }, on) => {
+  append: (state, { id, term, n = 0 }, enabled) => {
     const { log } = termOf(state, term);
     const voters = votersOf(log);
-    const changed = on['one voter at a time'] === false ? 'abd' : CHANGES[voters];
+    const changed = enabled['one voter at a time'] === false ? 'abd' : VOTER_CHANGES[voters];
     const entry: Entry = n === 1 && changed !== undefined ? { t: term, v: changed } : { t: term };
     const next = [...log, entry];
     return setTerm(setReplica(state, id, { log: next, synced: next.length }), term, { log: next });
   },
   /** The first `n` entries of a leader's log arrive. */
-  receive: (state, { id, term, n = 0 }, on) => {
+  receive: (state, { id, term, n = 0 }, enabled) => {
     const known = replicaOf(state, id);
     const sent = termOf(state, term).log.slice(0, n);
     const agrees = sent.every(({ t }, i) => known.log[i]?.t === t);
@@ -172,7 +172,9 @@
       term,
       log,
       synced:
-        on['sync before answering'] === false ? Math.min(known.synced, log.length) : log.length,
+        enabled['sync before answering'] === false
+          ? Math.min(known.synced, log.length)
+          : log.length,
     });
     const { acks } = termOf(state, term);
     return setTerm(next, term, { acks: sortKeys({ ...acks, [id]: Math.max(acks[id] ?? 0, n) }) });
@@ -184,23 +186,23 @@
     return {
       ...state,
       committed: committed.length > state.committed.length ? committed : state.committed,
-      committedIn: Math.max(state.committedIn, term),
+      committedTerm: Math.max(state.committedTerm, term),
       broken: differs ? [...state.broken, 'two accepted entries at one index'] : state.broken,
     };
   },
   /** Stops and starts: what was not synced is gone, and so is the lead. */
-  crash: (state, { id, term }, on) => {
+  crash: (state, { id, term }, enabled) => {
     const known = replicaOf(state, id);
-    const votes = on['sync the vote'] === false ? [] : known.votes;
+    const votes = enabled['sync the vote'] === false ? [] : known.votes;
     const next = setReplica(state, id, { log: known.log.slice(0, known.synced), votes });
     const led = termOf(next, term).leader === id;
     const stopped = led ? setTerm(next, term, { leading: false }) : next;
     return { ...stopped, crashes: state.crashes + 1 };
   },
   /** Loses its disk: it returns as d, without a vote, or (mutant) under its own name. */
-  wipe: (state, { id }, on) => {
+  wipe: (state, { id }, enabled) => {
     const kept =
-      on['new identity after a lost disk'] === false
+      enabled['new identity after a lost disk'] === false
         ? setReplica(state, id, emptyReplica())
         : state;
     const terms = kept.terms.map((term) =>
@@ -212,10 +214,10 @@
 
 function electionEvents(state: State, id: string, bounds: ConsensusBounds): readonly Event[] {
   const { term, votes, log } = replicaOf(state, id);
-  const mayStand = votersOf(log).includes(id) && bounds.candidates.includes(id);
+  const mayCampaign = votersOf(log).includes(id) && bounds.candidates.includes(id);
   const next = term + 1;
   const campaign: readonly Event[] =
-    mayStand && next <= bounds.terms ? [{ type: 'campaign', id, term: next }] : [];
+    mayCampaign && next <= bounds.terms ? [{ type: 'campaign', id, term: next }] : [];
   const lead = state.terms.flatMap((known, t) =>
     t > 0 &&
     t === term &&
@@ -232,9 +234,9 @@
 function voteEvents(state: State, id: string): readonly Event[] {
   const voter = replicaOf(state, id);
   return Object.entries(state.replicas).flatMap(([other, { term, votes, log }]) => {
-    const asks = other !== id && term > 0 && votes[term] === other && term >= voter.term;
-    const free = term > voter.term || (voter.votes[term] ?? '') === '';
-    return asks && free && isUpToDate(voter.log, log)
+    const isCandidate = other !== id && term > 0 && votes[term] === other && term >= voter.term;
+    const hasVote = term > voter.term || (voter.votes[term] ?? '') === '';
+    return isCandidate && hasVote && isUpToDate(voter.log, log)
       ? [{ type: 'vote', id, term, n: 'abcd'.indexOf(other) }]
       : [];
   });
@@ -244,23 +246,23 @@
   state: State,
   term: number,
   bounds: ConsensusBounds,
-  on: Safeguards,
+  enabled: Safeguards,
 ): readonly Event[] {
   const { leader: id, leading, log, acks } = termOf(state, term);
   if (!leading || replicaOf(state, id).term !== term) {
     return [];
   }
-  const ownEntry = log.some(({ t }) => t === term);
+  const hasOwnEntry = log.some(({ t }) => t === term);
   const changes = log.filter(({ v }) => v !== undefined).length;
   const committed = state.committed.length >= log.length;
-  const mayChange = bounds.replace && committed && ownEntry && changes < 2;
+  const mayChange = bounds.replace && committed && hasOwnEntry && changes < 2;
   const append = [
-    ...(log.length < bounds.log && !ownEntry ? [{ type: 'append', id, term, n: 0 }] : []),
+    ...(log.length < bounds.log && !hasOwnEntry ? [{ type: 'append', id, term, n: 0 }] : []),
     ...(log.length < bounds.log + 2 && mayChange ? [{ type: 'append', id, term, n: 1 }] : []),
   ];
   const commit = log.flatMap(({ t }, i) => {
     const holders = Object.keys(acks).filter((other) => other === id || (acks[other] ?? 0) > i);
-    const own = t === term || on['commit only own term by count'] === false;
+    const own = t === term || enabled['commit only own term by count'] === false;
     return own && i >= state.committed.length && isQuorum(votersOf(log), holders)
       ? [{ type: 'commit', id, term, n: i + 1 }]
       : [];
@@ -280,9 +282,9 @@
   );
 }
 
-function listEvents(state: State, bounds: ConsensusBounds, on: Safeguards): readonly Event[] {
+function listEvents(state: State, bounds: ConsensusBounds, enabled: Safeguards): readonly Event[] {
   const ids = Object.keys(state.replicas).filter(
-    (id) => !(state.wiped && id === 'c' && on['new identity after a lost disk'] !== false),
+    (id) => !(state.wiped && id === 'c' && enabled['new identity after a lost disk'] !== false),
   );
   const crash = ids.flatMap((id) => {
     const { term } = replicaOf(state, id);
@@ -293,7 +295,7 @@
     ...ids.flatMap((id) => electionEvents(state, id, bounds)),
     ...ids.flatMap((id) => voteEvents(state, id)),
     ...ids.flatMap((id) => receiveEvents(state, id)),
-    ...state.terms.flatMap((_term, t) => leaderEvents(state, t, bounds, on)),
+    ...state.terms.flatMap((_term, t) => leaderEvents(state, t, bounds, enabled)),
     ...crash,
     ...wipe,
   ];
@@ -322,11 +324,11 @@
   };
   const acks = { a: 0, c: 1 };
   const given = ['a>a', 'b>a', 'c>a'];
-  const begun = { ...state, replicas, committed: log, committedIn: 1 };
-  return setTerm(begun, 1, { leader: 'a', leading: true, log, acks, given });
+  const accepted = { ...state, replicas, committed: log, committedTerm: 1 };
+  return setTerm(accepted, 1, { leader: 'a', leading: true, log, acks, given });
 }
 
-const STARTS: Readonly<Record<string, (state: State) => State>> = {
+const INITIAL_STATES: Readonly<Record<string, (state: State) => State>> = {
   empty: (state) => state,
   'after two terms': afterTwoTerms,
   'after one commit': afterOneCommit,
@@ -338,23 +340,23 @@
   bounds: ConsensusBounds,
   safeguards: readonly string[],
 ): Spec<State, Event> {
-  const first = STARTS[bounds.start ?? 'empty'] ?? ((state: State): State => state);
+  const initialState = INITIAL_STATES[bounds.start ?? 'empty'] ?? ((state: State): State => state);
   const ids = bounds.replace ? ['a', 'b', 'c', 'd'] : ['a', 'b', 'c'];
   return {
     name,
     bounds: JSON.stringify(bounds),
     safeguards,
-    init: first({
+    init: initialState({
       replicas: Object.fromEntries(ids.map((id) => [id, emptyReplica()])),
       terms: Array.from({ length: bounds.terms + 1 }, emptyTerm),
       committed: [],
-      committedIn: 0,
+      committedTerm: 0,
       broken: [],
       wiped: false,
       crashes: 0,
     }),
-    events: (state, on) => listEvents(state, bounds, on),
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
+    events: (state, enabled) => listEvents(state, bounds, enabled),
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
     violations: ({ broken }) => broken,
   };
 }
--- a/spec/SpecExplorer.ts
+++ b/spec/SpecExplorer.ts
@@ -36,14 +36,17 @@
  * Visits all states and checks the invariants in each. The library goes breadth first, so the first
  * violation found has the shortest trace; nothing is gone beyond then.
  */
-export function exploreSpec<S, E extends SpecEvent>(spec: Spec<S, E>, on: Safeguards): Exploration {
+export function exploreSpec<S, E extends SpecEvent>(
+  spec: Spec<S, E>,
+  enabled: Safeguards,
+): Exploration {
   const startedAt = performance.now();
   const origins = new Map<string, Origin>();
-  const known = new Set([JSON.stringify(spec.init)]);
+  const visited = new Set([JSON.stringify(spec.init)]);
   let transitions = 0;
   let violated: readonly string[] = spec.violations(spec.init);
   let violation: string | null = null;
-  const listNews = ({ context }: { readonly context: S }): readonly E[] => {
+  const listUnvisited = ({ context }: { readonly context: S }): readonly E[] => {
     const from = JSON.stringify(context);
     if (violation === null && violated.length === 0) {
       violated = spec.violations(context);
@@ -53,20 +56,20 @@
       return [];
     }
     // Only events that lead to states not met yet are handed on, so that the queue stays short.
-    return spec.events(context, on).filter((event) => {
+    return spec.events(context, enabled).filter((event) => {
       transitions += 1;
-      const next = JSON.stringify(spec.step(context, event, on));
-      if (known.has(next)) {
+      const next = JSON.stringify(spec.step(context, event, enabled));
+      if (visited.has(next)) {
         return false;
       }
-      known.add(next);
+      visited.add(next);
       origins.set(next, { from, event });
       return true;
     });
   };
-  const logic = fromTransition((state: S, event: E) => spec.step(state, event, on), spec.init);
+  const logic = fromTransition((state: S, event: E) => spec.step(state, event, enabled), spec.init);
   const graph = getAdjacencyMap(logic as unknown as AnyActorLogic, {
-    events: listNews as never,
+    events: listUnvisited as never,
     serializeState: ((snapshot: { readonly context: S }) =>
       JSON.stringify(snapshot.context)) as never,
     limit: STATE_LIMIT,
--- a/spec/SpecLease.ts
+++ b/spec/SpecLease.ts
@@ -20,9 +20,9 @@
   /** Orders that the gate has passed on, on their way to the engine. */
   readonly toEngine: readonly number[];
   /** Highest token that the gate knows; -1 while it has restarted and not learned it again. */
-  readonly highest: number;
+  readonly highestToken: number;
   /** Token of the newest order that the engine has carried out. */
-  readonly done: number;
+  readonly executedToken: number;
   readonly restarts: number;
   readonly broken: readonly string[];
 }
@@ -63,14 +63,14 @@
   return [...new Set([...tokens, token])].sort((a, b) => a - b);
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
   grant: (state, { i = 0 }) => {
     const token = state.granted + 1;
     // Two who may use the lease at once by their own clocks: the log must never allow that.
-    const both = state.holders.some((known, j) => j !== i && known.token > 0 && !known.expired);
-    const broken = both ? [...state.broken, 'two holders whose leases both run'] : state.broken;
+    const overlaps = state.holders.some((known, j) => j !== i && known.token > 0 && !known.expired);
+    const broken = overlaps ? [...state.broken, 'two holders whose leases both run'] : state.broken;
     return { ...setHolder(state, i, { token, expired: false }), granted: token, broken };
   },
   expire: (state, { i = 0 }) => setHolder(state, i, { expired: true }),
@@ -82,8 +82,8 @@
     ...state,
     toGate: add(state.toGate, state.holders[i]?.token ?? 0),
   }),
-  pass: (state, { token = 0 }, on) => {
-    const stale = token < state.highest && on['compare tokens at the gate'] !== false;
+  pass: (state, { token = 0 }, enabled) => {
+    const stale = token < state.highestToken && enabled['compare tokens at the gate'] !== false;
     const toGate = removeOne(state.toGate, token);
     if (stale) {
       return { ...state, toGate };
@@ -92,33 +92,33 @@
       ...state,
       toGate,
       toEngine: add(state.toEngine, token),
-      highest: Math.max(state.highest, token),
+      highestToken: Math.max(state.highestToken, token),
     };
   },
   drop: (state, { token = 0 }) => ({ ...state, toEngine: removeOne(state.toEngine, token) }),
   carryOut: (state, { token = 0 }) => ({
     ...state,
     toEngine: removeOne(state.toEngine, token),
-    done: Math.max(state.done, token),
+    executedToken: Math.max(state.executedToken, token),
     broken:
-      token < state.done
+      token < state.executedToken
         ? [...state.broken, 'an old order was carried out after a newer one']
         : state.broken,
   }),
-  restartGate: (state) => ({ ...state, highest: -1, restarts: state.restarts + 1 }),
-  learn: (state) => ({ ...state, highest: Math.max(state.highest, state.granted) }),
+  restartGate: (state) => ({ ...state, highestToken: -1, restarts: state.restarts + 1 }),
+  learn: (state) => ({ ...state, highestToken: Math.max(state.highestToken, state.granted) }),
 };
 
-function gateEvents(state: State, on: Safeguards): readonly Event[] {
-  const learned =
-    state.highest >= 0 || on['learn the token from a quorum after a restart'] === false;
+function gateEvents(state: State, enabled: Safeguards): readonly Event[] {
+  const knowsToken =
+    state.highestToken >= 0 || enabled['learn the token from a quorum after a restart'] === false;
   // A newer owner's order waits until none of an older one can still be on its way to the engine.
-  const clear = (token: number): boolean =>
-    on['wait out orders on their way to the engine'] === false ||
+  const mayPass = (token: number): boolean =>
+    enabled['wait out orders on their way to the engine'] === false ||
     state.toEngine.every((other) => other >= token);
   return [
-    ...(learned
-      ? state.toGate.filter(clear).map((token) => ({ type: 'pass', token }))
+    ...(knowsToken
+      ? state.toGate.filter(mayPass).map((token) => ({ type: 'pass', token }))
       : [{ type: 'learn' }]),
     ...state.toEngine.flatMap((token) => [
       { type: 'carryOut', token },
@@ -131,13 +131,13 @@
   state: State,
   i: number,
   bounds: LeaseBounds,
-  on: Safeguards,
+  enabled: Safeguards,
 ): readonly Event[] {
   const { token, expired } = state.holders[i] ?? { token: 0, expired: false };
   const free = state.holders.every((known, j) => j === i || known.token === 0 || known.expired);
-  const mayAsk = free || on['grant only after the lease ran out'] === false;
+  const mayGrant = free || enabled['grant only after the lease ran out'] === false;
   return [
-    ...(token === 0 && mayAsk && state.granted < bounds.grants ? [{ type: 'grant', i }] : []),
+    ...(token === 0 && mayGrant && state.granted < bounds.grants ? [{ type: 'grant', i }] : []),
     ...(token > 0 && !expired ? [{ type: 'expire', i }] : []),
     ...(token > 0 && expired ? [{ type: 'notice', i }] : []),
     ...(token > 0 ? [{ type: 'end', i }] : []),
@@ -156,17 +156,17 @@
       holders: Array.from({ length: HOLDERS }, () => ({ token: 0, expired: false })),
       toGate: [],
       toEngine: [],
-      highest: 0,
-      done: 0,
+      highestToken: 0,
+      executedToken: 0,
       restarts: 0,
       broken: [],
     },
-    events: (state, on) => [
-      ...state.holders.flatMap((_holder, i) => holderEvents(state, i, bounds, on)),
-      ...gateEvents(state, on),
+    events: (state, enabled) => [
+      ...state.holders.flatMap((_holder, i) => holderEvents(state, i, bounds, enabled)),
+      ...gateEvents(state, enabled),
       ...(state.restarts < bounds.restarts ? [{ type: 'restartGate' }] : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
     violations: ({ broken }) => broken,
   };
 }
--- a/spec/SpecList.ts
+++ b/spec/SpecList.ts
@@ -24,15 +24,15 @@
     ['new identity after a lost disk', 'one voter at a time'],
   ),
   makeVotersSpec({ hosts: 3, borne: 1, losses: 2, silences: 1, inOrder: false }, [
-    VOTERS_SAFEGUARDS.OUTLIVES,
-    VOTERS_SAFEGUARDS.DROPPED,
+    VOTERS_SAFEGUARDS.SILENCE_OUTLIVES_ELECTION,
+    VOTERS_SAFEGUARDS.DROP_SILENT,
   ]),
   makeVotersSpec({ hosts: 5, borne: 2, losses: 4, silences: 0, inOrder: true }, [
-    VOTERS_SAFEGUARDS.TWO_OF_ODD,
-    VOTERS_SAFEGUARDS.ENOUGH,
+    VOTERS_SAFEGUARDS.DROP_TWO_OF_ODD,
+    VOTERS_SAFEGUARDS.KEEP_ENOUGH_VOTERS,
   ]),
   makeVotersSpec({ hosts: 5, borne: 2, losses: 2, silences: 1, inOrder: true }, [
-    VOTERS_SAFEGUARDS.NEWCOMER_FIRST,
+    VOTERS_SAFEGUARDS.PROMOTE_FIRST,
   ]),
   makeRolloutSpec({ changes: 3, restarts: 3, processes: 2 }),
   makeLeaseSpec({ grants: 3, restarts: 2 }),
--- a/spec/SpecMain.ts
+++ b/spec/SpecMain.ts
@@ -5,19 +5,19 @@
 import { exploreSpec, safeguardsWithout } from './SpecExplorer.js';
 import { SPECS } from './SpecList.js';
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 function checkSpecs(): boolean {
   return SPECS.map((spec) => {
     const found = exploreSpec(spec, safeguardsWithout(spec));
-    say(
+    printLine(
       `${spec.name}: bounds ${spec.bounds}, ${found.states} states, ${found.transitions} transitions, ` +
         `${found.seconds.toFixed(1)} s, violations ${found.violated.length}`,
     );
     if (found.trace !== null) {
-      say(`  VIOLATED ${found.violated.join(', ')}:\n    ${found.trace.join('\n    ')}`);
+      printLine(`  VIOLATED ${found.violated.join(', ')}:\n    ${found.trace.join('\n    ')}`);
     }
     return found.trace === null;
   }).every(Boolean);
@@ -28,19 +28,19 @@
     spec.safeguards.map((safeguard) => {
       const found = exploreSpec(spec, safeguardsWithout(spec, [safeguard]));
       if (found.trace === null) {
-        say(`${spec.name} without "${safeguard}": SURVIVED, ${found.states} states`);
+        printLine(`${spec.name} without "${safeguard}": SURVIVED, ${found.states} states`);
         return false;
       }
-      say(
+      printLine(
         `${spec.name} without "${safeguard}": ${found.violated.join(', ')} after ` +
           `${found.trace.length} events (${found.states} states, ${found.seconds.toFixed(1)} s)`,
       );
-      say(`    ${found.trace.join('\n    ')}`);
+      printLine(`    ${found.trace.join('\n    ')}`);
       return true;
     }),
   ).every(Boolean);
 }
 
-const sound = checkSpecs();
-const killed = process.argv.includes('--mutants') ? checkMutants() : true;
-process.exitCode = sound && killed ? 0 : 1;
+const specsHold = checkSpecs();
+const mutantsFail = process.argv.includes('--mutants') ? checkMutants() : true;
+process.exitCode = specsHold && mutantsFail ? 0 : 1;
--- a/spec/SpecMapChange.ts
+++ b/spec/SpecMapChange.ts
@@ -16,7 +16,7 @@
   readonly a: number;
   readonly c: number;
   /** Answers given, `kind.token.version`; to a query with what it told. */
-  readonly said: readonly string[];
+  readonly answers: readonly string[];
 }
 
 interface Coordinator {
@@ -60,7 +60,7 @@
 const FIRST_VERSION = 1;
 
 /** Letter of the order that each phase sends. */
-const ORDERS: Readonly<Record<string, string>> = {
+const ORDER_KINDS: Readonly<Record<string, string>> = {
   learning: 'q',
   preparing: 'p',
   arming: 'a',
@@ -75,22 +75,23 @@
     .map(({ rank }) => rank);
 }
 
-function addTo<T>(items: readonly T[], item: T): readonly T[] {
+function insertSorted<T>(items: readonly T[], item: T): readonly T[] {
   return items.includes(item) ? items : [...items, item].sort((a, b) => (a < b ? -1 : 1));
 }
 
-function enter(state: State, i: number, change: Partial<Coordinator>): State {
+function enterPhase(state: State, i: number, change: Partial<Coordinator>): State {
   const coordinators = state.coordinators.map((known, j) =>
     j === i ? { ...known, ...change } : known,
   );
   const { phase, version } = coordinators[i] ?? { phase: '', version: 0 };
-  const kind = ORDERS[phase];
-  const sent = kind === undefined ? state.sent : addTo(state.sent, `${kind}.${i + 1}.${version}`);
+  const kind = ORDER_KINDS[phase];
+  const sent =
+    kind === undefined ? state.sent : insertSorted(state.sent, `${kind}.${i + 1}.${version}`);
   return { ...state, coordinators, sent };
 }
 
 /** What a rank makes of an order; null if it refuses. */
-function take(rank: Rank, kind: string, version: number, on: Safeguards): Rank | null {
+function applyOrder(rank: Rank, kind: string, version: number, enabled: Safeguards): Rank | null {
   const rules: Readonly<Record<string, () => Rank | null>> = {
     q: () => rank,
     p: () => (rank.a === 0 && version > rank.v ? { ...rank, p: version } : null),
@@ -106,7 +107,7 @@
         return null;
       }
       // Only what the abort is about: an older version may be committed and not yet in use.
-      const other = rank.p !== version && on['abort only the version named'] !== false;
+      const other = rank.p !== version && enabled['abort only the version named'] !== false;
       return other ? rank : { ...rank, p: 0, a: 0 };
     },
   };
@@ -119,7 +120,7 @@
     : `${kind}.${token}.${version}`;
 }
 
-interface Told {
+interface RankState {
   readonly v: number;
   readonly p: number;
   readonly a: number;
@@ -127,8 +128,10 @@
 }
 
 /** First answers of all ranks to a query; null while one is missing. */
-function learned(state: State, token: number): readonly Told[] | null {
-  const told = state.ranks.map(({ said }) => said.find((text) => text.startsWith(`q.${token}.`)));
+function queryAnswers(state: State, token: number): readonly RankState[] | null {
+  const told = state.ranks.map(({ answers }) =>
+    answers.find((text) => text.startsWith(`q.${token}.`)),
+  );
   if (told.includes(undefined)) {
     return null;
   }
@@ -138,68 +141,68 @@
   });
 }
 
-function afterLearning(state: State, i: number, told: readonly Told[]): State {
+function decideAfterQuery(state: State, i: number, told: readonly RankState[]): State {
   const newest = Math.max(...told.map(({ v, c }) => Math.max(v, c)));
   const open = Math.max(...told.map(({ p, a }) => Math.max(p, a)));
   const attempted = Math.max(newest, open);
   if (told.some(({ v }) => v < newest)) {
-    return enter(state, i, { phase: 'committing', version: newest, attempted });
+    return enterPhase(state, i, { phase: 'committing', version: newest, attempted });
   }
   if (open > newest) {
     const phase = told.every(({ a }) => a === open) ? 'committing' : 'aborting';
-    return enter(state, i, { phase, version: open, attempted });
+    return enterPhase(state, i, { phase, version: open, attempted });
   }
-  return enter(state, i, { phase: 'ready', version: newest, attempted });
+  return enterPhase(state, i, { phase: 'ready', version: newest, attempted });
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
-  replace: (state) => enter(state, 1, { phase: 'learning' }),
+  replace: (state) => enterPhase(state, 1, { phase: 'learning' }),
   /** Mutant: acts on what it has heard from some ranks. */
-  learnSome: (state) => enter(state, 1, { phase: 'aborting', version: FIRST_VERSION + 1 }),
-  propose: (state, { i = 0 }, on) => {
+  learnSome: (state) => enterPhase(state, 1, { phase: 'aborting', version: FIRST_VERSION + 1 }),
+  propose: (state, { i = 0 }, enabled) => {
     const { attempted, version } = state.coordinators[i] ?? { attempted: 0, version: 0 };
-    const next = (on['a new version for each attempt'] === false ? version : attempted) + 1;
-    return enter(state, i, { phase: 'preparing', version: next, attempted: next });
+    const next = (enabled['a new version for each attempt'] === false ? version : attempted) + 1;
+    return enterPhase(state, i, { phase: 'preparing', version: next, attempted: next });
   },
-  giveUp: (state, { i = 0 }) => enter(state, i, { phase: 'aborting' }),
-  advance: (state, { i = 0 }, on) => {
+  giveUp: (state, { i = 0 }) => enterPhase(state, i, { phase: 'aborting' }),
+  advance: (state, { i = 0 }, enabled) => {
     const { phase, version } = state.coordinators[i] ?? { phase: '', version: 0 };
-    const told = phase === 'learning' ? learned(state, i + 1) : null;
+    const told = phase === 'learning' ? queryAnswers(state, i + 1) : null;
     if (told !== null) {
-      return afterLearning(state, i, told);
+      return decideAfterQuery(state, i, told);
     }
-    const skip = on['commit only once all are armed'] === false;
+    const skip = enabled['commit only once all are armed'] === false;
     const next: Readonly<Record<string, Partial<Coordinator>>> = {
       preparing: { phase: 'arming' },
       arming: { phase: 'committing' },
       committing: { phase: 'ready' },
       aborting: { phase: 'ready', version: Math.min(...state.ranks.map(({ v }) => v)) },
     };
-    const armed = enter(state, i, next[phase] ?? {});
+    const armed = enterPhase(state, i, next[phase] ?? {});
     return skip && phase === 'preparing'
-      ? enter(armed, i, { phase: 'committing', version })
+      ? enterPhase(armed, i, { phase: 'committing', version })
       : armed;
   },
-  deliver: (state, { i = 0, order = '' }, on) => {
+  deliver: (state, { i = 0, order = '' }, enabled) => {
     const [kind = '', token = 0, version = 0] = order
       .split('.')
       .map((part, j) => (j === 0 ? part : Number(part))) as [string, number, number];
     const rank = state.ranks[i];
-    const stale = rank === undefined || (token < rank.h && on['refuse old tokens'] !== false);
-    const taken = stale ? null : take(rank, kind, version, on);
+    const stale = rank === undefined || (token < rank.h && enabled['refuse old tokens'] !== false);
+    const taken = stale ? null : applyOrder(rank, kind, version, enabled);
     if (taken === null) {
       return state;
     }
     const next: Rank = {
       ...taken,
       h: Math.max(taken.h, token),
-      said: addTo(taken.said, answerOf(taken, kind, token, version)),
+      answers: insertSorted(taken.answers, answerOf(taken, kind, token, version)),
     };
     return { ...state, ranks: sortRanks(state.ranks.map((known, j) => (j === i ? next : known))) };
   },
-  reach: (state, { version = 0 }) => ({ ...state, reached: addTo(state.reached, version) }),
+  reach: (state, { version = 0 }) => ({ ...state, reached: insertSorted(state.reached, version) }),
   /** One step of the group: those whose step has come and who know go over to the new version. */
   step: (state) => {
     const ranks = state.ranks.map((rank) =>
@@ -216,7 +219,7 @@
   },
 };
 
-function sentBy(state: State, i: number, kind: string): number {
+function countSent(state: State, i: number, kind: string): number {
   return state.sent.filter((order) => order.startsWith(`${kind}.${i + 1}.`)).length;
 }
 
@@ -224,28 +227,31 @@
   state: State,
   i: number,
   bounds: MapChangeBounds,
-  on: Safeguards,
+  enabled: Safeguards,
 ): readonly Event[] {
   const { phase, version } = state.coordinators[i] ?? { phase: 'idle', version: 0 };
-  const kind = ORDERS[phase];
+  const kind = ORDER_KINDS[phase];
   const answered =
     phase === 'learning'
-      ? learned(state, i + 1) !== null
-      : state.ranks.every(({ said }) => said.includes(`${kind ?? ''}.${i + 1}.${version}`));
-  const done = sentBy(state, i, 'p');
-  const early = phase === 'preparing' || phase === 'arming';
-  const hasty = phase === 'learning' && on['learn from all ranks before acting'] === false;
+      ? queryAnswers(state, i + 1) !== null
+      : state.ranks.every(({ answers }) => answers.includes(`${kind ?? ''}.${i + 1}.${version}`));
+  const proposed = countSent(state, i, 'p');
+  const mayAbort = phase === 'preparing' || phase === 'arming';
+  const mayActEarly =
+    phase === 'learning' && enabled['learn from all ranks before acting'] === false;
   return [
-    ...(phase === 'ready' && done < (bounds.proposals[i] ?? 0) ? [{ type: 'propose', i }] : []),
+    ...(phase === 'ready' && proposed < (bounds.proposals[i] ?? 0) ? [{ type: 'propose', i }] : []),
     ...(kind !== undefined && answered ? [{ type: 'advance', i }] : []),
-    ...(early ? [{ type: 'giveUp', i }] : []),
-    ...(hasty ? [{ type: 'learnSome' }] : []),
+    ...(mayAbort ? [{ type: 'giveUp', i }] : []),
+    ...(mayActEarly ? [{ type: 'learnSome' }] : []),
   ];
 }
 
-function mayStep(state: State, on: Safeguards): boolean {
-  const waits = state.ranks.some(({ a, c }) => a !== 0 && c !== a && state.reached.includes(a));
-  return !waits || on['an armed rank waits rather than guesses'] === false;
+function mayStep(state: State, enabled: Safeguards): boolean {
+  const hasWaitingRank = state.ranks.some(
+    ({ a, c }) => a !== 0 && c !== a && state.reached.includes(a),
+  );
+  return !hasWaitingRank || enabled['an armed rank waits rather than guesses'] === false;
 }
 
 /** Makes the specification within bounds. */
@@ -253,7 +259,7 @@
   bounds: MapChangeBounds,
   safeguards: readonly string[] = SAFEGUARDS,
 ): Spec<State, Event> {
-  const rank: Rank = { h: 1, v: FIRST_VERSION, p: 0, a: 0, c: 0, said: [] };
+  const rank: Rank = { h: 1, v: FIRST_VERSION, p: 0, a: 0, c: 0, answers: [] };
   return {
     name: 'map change over the ranks of a group',
     bounds: JSON.stringify(bounds),
@@ -268,18 +274,18 @@
       reached: [],
       broken: [],
     },
-    events: (state, on) => [
+    events: (state, enabled) => [
       ...(state.coordinators[1]?.phase === 'idle' ? [{ type: 'replace' }] : []),
-      ...state.coordinators.flatMap((_known, i) => coordinatorEvents(state, i, bounds, on)),
+      ...state.coordinators.flatMap((_known, i) => coordinatorEvents(state, i, bounds, enabled)),
       ...state.ranks.flatMap((_rank, i) =>
         state.sent.map((order) => ({ type: 'deliver', i, order })),
       ),
       ...state.ranks
         .filter(({ a }) => a !== 0 && !state.reached.includes(a))
         .map(({ a }) => ({ type: 'reach', version: a })),
-      ...(mayStep(state, on) ? [{ type: 'step' }] : []),
+      ...(mayStep(state, enabled) ? [{ type: 'step' }] : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
     violations: ({ broken }) => broken,
   };
 }
--- a/spec/SpecRollout.ts
+++ b/spec/SpecRollout.ts
@@ -10,11 +10,11 @@
 
 interface Process {
   /** Index it acts on; 0 while it acts on nothing. */
-  readonly acts: number;
+  readonly applied: number;
   /** Index that it remembers from before its restart. */
-  readonly remembers: number;
+  readonly remembered: number;
   /** Whether it is attached to the AZ's control process, so that each can tell the other. */
-  readonly here: boolean;
+  readonly attached: boolean;
 }
 
 interface State {
@@ -25,7 +25,7 @@
   readonly log: number;
   readonly disk: number;
   /** What it serves now; 0 while it has just started. */
-  readonly serves: number;
+  readonly served: number;
   readonly checked: boolean;
   readonly processes: readonly Process[];
   /** Deltas sent, `from>to`. */
@@ -56,8 +56,8 @@
 ] as const;
 
 /** Newest index in force at the processes attached. */
-function newestActed(state: State): number {
-  return Math.max(0, ...state.processes.map(({ acts, here }) => (here ? acts : 0)));
+function newestApplied(state: State): number {
+  return Math.max(0, ...state.processes.map(({ applied, attached }) => (attached ? applied : 0)));
 }
 
 function setProcess(state: State, i: number, change: Partial<Process>): State {
@@ -68,26 +68,26 @@
 }
 
 /** A process takes an index into force; it must never be older than its own. */
-function act(state: State, i: number, index: number): State {
-  const { acts } = state.processes[i] ?? { acts: 0 };
-  const others = newestActed(state);
+function applyIndex(state: State, i: number, index: number): State {
+  const { applied } = state.processes[i] ?? { applied: 0 };
+  const others = newestApplied(state);
   const broken = [
-    ...(index < acts ? ['a process went back to an older configuration'] : []),
-    ...(acts === 0 && index < others && state.cut
+    ...(index < applied ? ['a process went back to an older configuration'] : []),
+    ...(applied === 0 && index < others && state.cut
       ? ['a restarted process took an older configuration than its peers hold']
       : []),
   ];
   return {
-    ...setProcess(state, i, { acts: index, remembers: Math.max(index, 0) }),
+    ...setProcess(state, i, { applied: index, remembered: Math.max(index, 0) }),
     broken: [...state.broken, ...broken],
   };
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
-function serve(state: State, index: number, on: Safeguards): State {
-  const synced = on['sync what is handed out'] !== false;
-  return { ...state, serves: index, disk: synced ? Math.max(state.disk, index) : state.disk };
+function serveIndex(state: State, index: number, enabled: Safeguards): State {
+  const synced = enabled['sync what is handed out'] !== false;
+  return { ...state, served: index, disk: synced ? Math.max(state.disk, index) : state.disk };
 }
 
 const STEPS: Readonly<Record<string, Step>> = {
@@ -95,74 +95,82 @@
   cut: (state) => ({ ...state, cut: true }),
   heal: (state) => ({ ...state, cut: false }),
   /** The log reaches the hub, with word of what is committed. */
-  replicate: (state, _event, on) => {
+  replicate: (state, _event, enabled) => {
     const next = { ...state, log: state.accepted };
-    return state.checked ? serve(next, state.accepted, on) : next;
+    return state.checked ? serveIndex(next, state.accepted, enabled) : next;
   },
   /** A quorum confirms the hub's log. */
-  check: (state, _event, on) => serve({ ...state, checked: true }, state.accepted, on),
+  check: (state, _event, enabled) =>
+    serveIndex({ ...state, checked: true }, state.accepted, enabled),
   /** Cut off from the quorum, it serves the newest of its disk and of those attached. */
-  serveCutOff: (state, _event, on) => {
-    const learned = on['learn from those attached when cut off'] === false ? 0 : newestActed(state);
-    return serve({ ...state, checked: true }, Math.max(state.disk, learned), on);
+  serveCutOff: (state, _event, enabled) => {
+    const learned =
+      enabled['learn from those attached when cut off'] === false ? 0 : newestApplied(state);
+    return serveIndex({ ...state, checked: true }, Math.max(state.disk, learned), enabled);
   },
-  serveUnchecked: (state, _event, on) => serve({ ...state, checked: true }, state.disk, on),
+  serveUnchecked: (state, _event, enabled) =>
+    serveIndex({ ...state, checked: true }, state.disk, enabled),
   restartHub: (state) => ({
     ...state,
-    processes: state.processes.map((known) => ({ ...known, here: false })),
-    serves: 0,
+    processes: state.processes.map((known) => ({ ...known, attached: false })),
+    served: 0,
     checked: false,
     restarts: state.restarts + 1,
   }),
   restart: (state, { i = 0 }) => ({
-    ...setProcess(state, i, { acts: 0, here: false }),
+    ...setProcess(state, i, { applied: 0, attached: false }),
     restarts: state.restarts + 1,
   }),
   /** A process attaches, and tells what it holds; the hub learns it before it serves on. */
-  attach: (state, { i = 0 }, on) => {
-    const next = setProcess(state, i, { here: true });
-    const { acts } = state.processes[i] ?? { acts: 0 };
-    const learns = on['learn from those attached when cut off'] !== false;
-    return state.checked && learns && acts > state.serves ? serve(next, acts, on) : next;
+  attach: (state, { i = 0 }, enabled) => {
+    const next = setProcess(state, i, { attached: true });
+    const { applied } = state.processes[i] ?? { applied: 0 };
+    const learns = enabled['learn from those attached when cut off'] !== false;
+    return state.checked && learns && applied > state.served
+      ? serveIndex(next, applied, enabled)
+      : next;
   },
   /** The hub sends a process what it lacks. */
   send: (state, { delta = '' }) => ({
     ...state,
     sent: [...new Set([...state.sent, delta])].sort(),
   }),
-  receive: (state, { i = 0, delta = '' }, on) => {
+  receive: (state, { i = 0, delta = '' }, enabled) => {
     const [from = 0, to = 0] = delta.split('>').map(Number);
-    const { acts } = state.processes[i] ?? { acts: 0 };
-    if (to <= acts && on['drop what is older'] !== false) {
+    const { applied } = state.processes[i] ?? { applied: 0 };
+    if (to <= applied && enabled['drop what is older'] !== false) {
       return state;
     }
-    if (from !== 0 && from !== acts) {
-      return on['no delta over a gap'] === false
-        ? { ...act(state, i, to), broken: [...state.broken, 'changes in between were left out'] }
+    if (from !== 0 && from !== applied) {
+      return enabled['no delta over a gap'] === false
+        ? {
+            ...applyIndex(state, i, to),
+            broken: [...state.broken, 'changes in between were left out'],
+          }
         : state;
     }
-    return act(state, i, to);
+    return applyIndex(state, i, to);
   },
   /** Attached to another AZ's control process, which is checked. */
   fromElsewhere: (state, { i = 0 }) =>
-    act(setProcess(state, i, { here: false }), i, state.accepted),
-  actOnMemory: (state, { i = 0 }) => act(state, i, state.processes[i]?.remembers ?? 0),
+    applyIndex(setProcess(state, i, { attached: false }), i, state.accepted),
+  actOnMemory: (state, { i = 0 }) => applyIndex(state, i, state.processes[i]?.remembered ?? 0),
 };
 
-function hubEvents(state: State, on: Safeguards): readonly Event[] {
-  const { cut, checked, log, accepted, serves } = state;
+function hubEvents(state: State, enabled: Safeguards): readonly Event[] {
+  const { cut, checked, log, accepted, served } = state;
   const replicate = !cut && log < accepted ? [{ type: 'replicate' }] : [];
   const check = !cut && !checked && accepted > 0 ? [{ type: 'check' }] : [];
   // Assumed: whoever lives attaches again within the time that the hub waits.
-  const allHere = state.processes.every(({ acts, here }) => here || acts === 0);
-  const cutOff = cut && !checked && allHere ? [{ type: 'serveCutOff' }] : [];
+  const allAttached = state.processes.every(({ applied, attached }) => attached || applied === 0);
+  const cutOff = cut && !checked && allAttached ? [{ type: 'serveCutOff' }] : [];
   const unchecked =
-    !checked && on['check with a quorum before serving'] === false
+    !checked && enabled['check with a quorum before serving'] === false
       ? [{ type: 'serveUnchecked' }]
       : [];
   const sends = state.processes
-    .filter(({ acts, here }) => here && acts < serves)
-    .flatMap(({ acts }) => [`0>${serves}`, ...(acts > 0 ? [`${acts}>${serves}`] : [])])
+    .filter(({ applied, attached }) => attached && applied < served)
+    .flatMap(({ applied }) => [`0>${served}`, ...(applied > 0 ? [`${applied}>${served}`] : [])])
     .filter((delta) => !state.sent.includes(delta))
     .map((delta) => ({ type: 'send', delta }));
   return [...replicate, ...check, ...cutOff, ...unchecked, ...sends];
@@ -171,21 +179,25 @@
 /** A new link carries nothing of the old one: a process that restarted gets what is sent since. */
 function mayArrive(state: State, i: number, delta: string): boolean {
   const [from = 0, to = 0] = delta.split('>').map(Number);
-  const { acts, here } = state.processes[i] ?? { acts: 0, here: false };
-  return acts > 0 || (here && from === 0 && to === state.serves && state.checked);
+  const { applied, attached } = state.processes[i] ?? { applied: 0, attached: false };
+  return applied > 0 || (attached && from === 0 && to === state.served && state.checked);
 }
 
-function processEvents(state: State, i: number, on: Safeguards): readonly Event[] {
-  const { acts, remembers, here } = state.processes[i] ?? { acts: 0, remembers: 0, here: false };
+function processEvents(state: State, i: number, enabled: Safeguards): readonly Event[] {
+  const { applied, remembered, attached } = state.processes[i] ?? {
+    applied: 0,
+    remembered: 0,
+    attached: false,
+  };
   const receives = state.sent
     .filter((delta) => mayArrive(state, i, delta))
     .map((delta) => ({ type: 'receive', i, delta }));
-  const elsewhere = !state.cut && state.accepted > acts ? [{ type: 'fromElsewhere', i }] : [];
+  const elsewhere = !state.cut && state.accepted > applied ? [{ type: 'fromElsewhere', i }] : [];
   const memory =
-    acts === 0 && remembers > 0 && on['act on nothing remembered'] === false
+    applied === 0 && remembered > 0 && enabled['act on nothing remembered'] === false
       ? [{ type: 'actOnMemory', i }]
       : [];
-  const attach = here ? [] : [{ type: 'attach', i }];
+  const attach = attached ? [] : [{ type: 'attach', i }];
   return [...receives, ...attach, ...elsewhere, ...memory];
 }
 
@@ -200,22 +212,22 @@
       cut: false,
       log: 0,
       disk: 0,
-      serves: 0,
+      served: 0,
       checked: false,
       processes: Array.from({ length: bounds.processes }, () => ({
-        acts: 0,
-        remembers: 0,
-        here: false,
+        applied: 0,
+        remembered: 0,
+        attached: false,
       })),
       sent: [],
       restarts: 0,
       broken: [],
     },
-    events: (state, on) => [
+    events: (state, enabled) => [
       ...(state.accepted < bounds.changes ? [{ type: 'accept' }] : []),
       { type: state.cut ? 'heal' : 'cut' },
-      ...hubEvents(state, on),
-      ...state.processes.flatMap((_process, i) => processEvents(state, i, on)),
+      ...hubEvents(state, enabled),
+      ...state.processes.flatMap((_process, i) => processEvents(state, i, enabled)),
       ...(state.restarts < bounds.restarts
         ? [
             { type: 'restartHub' },
@@ -223,7 +235,7 @@
           ]
         : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
     violations: ({ broken }) => broken,
   };
 }
--- a/spec/SpecTypes.ts
+++ b/spec/SpecTypes.ts
@@ -17,9 +17,9 @@
   readonly safeguards: readonly string[];
   readonly init: S;
   /** All that may happen next. */
-  readonly events: (state: S, on: Safeguards) => readonly E[];
+  readonly events: (state: S, enabled: Safeguards) => readonly E[];
   /** What it leads to. Only called with events that `events` gave. */
-  readonly step: (state: S, event: E, on: Safeguards) => S;
+  readonly step: (state: S, event: E, enabled: Safeguards) => S;
   /** Names of the invariants that a state breaks. */
   readonly violations: (state: S) => readonly string[];
 }
--- a/spec/SpecVoters.ts
+++ b/spec/SpecVoters.ts
@@ -16,16 +16,16 @@
   /** `gone`: its disk is lost for good. `silent`: out of reach, with its disk. */
   readonly status: 'sound' | 'silent' | 'gone';
   /** Whether the leader counts it as silent. */
-  readonly noticed: boolean;
+  readonly suspected: boolean;
   /** Whether its disk holds all that was accepted. */
-  readonly holds: boolean;
+  readonly isUpToDate: boolean;
 }
 
 interface State {
   readonly replicas: readonly Replica[];
   readonly members: ConsensusMembers;
   /** Disks lost that still count: no other may be lost beyond what is borne. */
-  readonly open: number;
+  readonly unrepaired: number;
   readonly losses: number;
   readonly silences: number;
 }
@@ -45,23 +45,29 @@
   readonly inOrder: boolean;
 }
 
-const OUTLIVES = 'silence is counted across elections';
-const DROPPED = 'silent voters are dropped where the quorum gets smaller';
-const TWO_OF_ODD = 'two silent voters of an odd number are dropped';
-const NEWCOMER_FIRST = 'newcomers are promoted before any voter is dropped';
-const ENOUGH = 'as many voters stay as the disks that may be lost ask for';
+const SILENCE_OUTLIVES_ELECTION = 'silence is counted across elections';
+const DROP_SILENT = 'silent voters are dropped where the quorum gets smaller';
+const DROP_TWO_OF_ODD = 'two silent voters of an odd number are dropped';
+const PROMOTE_FIRST = 'newcomers are promoted before any voter is dropped';
+const KEEP_ENOUGH_VOTERS = 'as many voters stay as the disks that may be lost ask for';
 
 /** Names of the safeguards, for the mutants that the bounds can kill. */
-export const VOTERS_SAFEGUARDS = { OUTLIVES, DROPPED, TWO_OF_ODD, NEWCOMER_FIRST, ENOUGH };
+export const VOTERS_SAFEGUARDS = {
+  SILENCE_OUTLIVES_ELECTION,
+  DROP_SILENT,
+  DROP_TWO_OF_ODD,
+  PROMOTE_FIRST,
+  KEEP_ENOUGH_VOTERS,
+};
 
 /** When the leader looks, ms; a replica heard at 0 has been silent for long enough. */
 const NOW = 10_000;
 
-function find(state: State, id: string): Replica | undefined {
+function findReplica(state: State, id: string): Replica | undefined {
   return state.replicas.find((replica) => replica.id === id);
 }
 
-function change(state: State, id: string, to: Partial<Replica>): State {
+function setReplica(state: State, id: string, to: Partial<Replica>): State {
   return {
     ...state,
     replicas: state.replicas.map((known) => (known.id === id ? { ...known, ...to } : known)),
@@ -70,7 +76,7 @@
 
 function count(state: State, has: (replica: Replica) => boolean): number {
   return state.members.voters.filter((id) => {
-    const replica = find(state, id);
+    const replica = findReplica(state, id);
     return replica !== undefined && has(replica);
   }).length;
 }
@@ -85,7 +91,8 @@
 function leaderOf(state: State): Replica | undefined {
   return hasQuorum(state, isSound)
     ? state.replicas.find(
-        (replica) => isSound(replica) && replica.holds && state.members.voters.includes(replica.id),
+        (replica) =>
+          isSound(replica) && replica.isUpToDate && state.members.voters.includes(replica.id),
       )
     : undefined;
 }
@@ -93,7 +100,7 @@
 /** Makes room for a newcomer by dropping a silent voter, if there is one. */
 function makeRoom(state: State): VoterChange | null {
   const { voters, learners } = state.members;
-  const replica = voters.find((id) => find(state, id)?.noticed === true);
+  const replica = voters.find((id) => findReplica(state, id)?.suspected === true);
   return replica === undefined
     ? null
     : {
@@ -104,37 +111,38 @@
 }
 
 /** What the leader would change next, by the program's own rule. */
-function nextChange(state: State, bounds: VotersBounds, on: Safeguards): VoterChange | null {
+function nextChange(state: State, bounds: VotersBounds, enabled: Safeguards): VoterChange | null {
   const leader = leaderOf(state);
   if (leader === undefined) {
     return null;
   }
-  const heard = ({ noticed }: Replica): number => (noticed ? 0 : NOW);
+  const lastHeardAt = ({ suspected }: Replica): number => (suspected ? 0 : NOW);
   const progress = Object.fromEntries(
     state.replicas.map((replica) => [
       replica.id,
-      { next: 2, match: replica.holds ? 1 : 0, heardAt: heard(replica), round: 0 },
+      { next: 2, match: replica.isUpToDate ? 1 : 0, heardAt: lastHeardAt(replica), round: 0 },
     ]),
   );
   const view = { id: leader.id, members: state.members, progress, commit: 1 };
   const found = nextVoterChange(view as unknown as ConsensusState, {
     now: NOW,
     heardAt: () => undefined,
-    lossesBorne: on[ENOUGH] === false ? 0 : bounds.borne,
+    lossesBorne: enabled[KEEP_ENOUGH_VOTERS] === false ? 0 : bounds.borne,
   });
-  if (found?.reason === 'caughtUp' && on[NEWCOMER_FIRST] === false) {
+  if (found?.reason === 'caughtUp' && enabled[PROMOTE_FIRST] === false) {
     return makeRoom(state) ?? found;
   }
   if (found?.reason !== 'silent') {
     return found;
   }
   const isOdd = state.members.voters.length % 2 === 1;
-  const isLeftOut = on[DROPPED] === false || (isOdd && on[TWO_OF_ODD] === false);
-  return isLeftOut ? null : found;
+  const isDisabled =
+    enabled[DROP_SILENT] === false || (isOdd && enabled[DROP_TWO_OF_ODD] === false);
+  return isDisabled ? null : found;
 }
 
 /** Whether a change would be committed: a majority of the new voters is there. */
-function commits(state: State, { members }: VoterChange): boolean {
+function canCommit(state: State, { members }: VoterChange): boolean {
   return hasQuorum({ ...state, members }, isSound);
 }
 
@@ -145,21 +153,23 @@
 }
 
 /** Whether all hosts are back and nothing is left to do about the disks that were lost. */
-function isSettled(state: State, bounds: VotersBounds, on: Safeguards): boolean {
-  const hasDue = state.replicas.some(
-    ({ id, status, noticed, holds }) =>
-      (status === 'gone' && !noticed && on[OUTLIVES] !== false) ||
+function isRepaired(state: State, bounds: VotersBounds, enabled: Safeguards): boolean {
+  const hasPending = state.replicas.some(
+    ({ id, status, suspected, isUpToDate }) =>
+      (status === 'gone' && !suspected && enabled[SILENCE_OUTLIVES_ELECTION] !== false) ||
       status === 'silent' ||
-      (status === 'sound' && !holds) ||
+      (status === 'sound' && !isUpToDate) ||
       (status === 'sound' &&
         !state.members.voters.includes(id) &&
         !state.members.learners.includes(id)),
   );
-  return !hasDue && nextChange(state, bounds, on) === null && leaderOf(state) !== undefined;
+  return (
+    !hasPending && nextChange(state, bounds, enabled) === null && leaderOf(state) !== undefined
+  );
 }
 
 /** Drops what no longer matters, so that alike states are one. */
-function tidy(state: State): State {
+function dropUnusedReplicas(state: State): State {
   const { voters, learners } = state.members;
   const named = (id: string): boolean => voters.includes(id) || learners.includes(id);
   return {
@@ -168,73 +178,73 @@
   };
 }
 
-type Step = (state: State, event: Event, bounds: VotersBounds, on: Safeguards) => State;
+type Step = (state: State, event: Event, bounds: VotersBounds, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
   lose: (state, { id = '', fresh = '' }) => {
-    const lost = change(state, id, { status: 'gone', noticed: false, holds: false });
-    const newcomer: Replica = { id: fresh, status: 'sound', noticed: false, holds: false };
+    const lost = setReplica(state, id, { status: 'gone', suspected: false, isUpToDate: false });
+    const newcomer: Replica = { id: fresh, status: 'sound', suspected: false, isUpToDate: false };
     return {
       ...lost,
       replicas: [...lost.replicas, newcomer],
-      open: state.open + 1,
+      unrepaired: state.unrepaired + 1,
       losses: state.losses + 1,
     };
   },
   silence: (state, { id = '' }) => ({
-    ...change(state, id, { status: 'silent' }),
+    ...setReplica(state, id, { status: 'silent' }),
     silences: state.silences + 1,
   }),
-  back: (state, { id = '' }) => change(state, id, { status: 'sound', noticed: false }),
-  notice: (state, { id = '' }) => change(state, id, { noticed: true }),
+  back: (state, { id = '' }) => setReplica(state, id, { status: 'sound', suspected: false }),
+  notice: (state, { id = '' }) => setReplica(state, id, { suspected: true }),
   elect: (state) => ({
     ...state,
-    replicas: state.replicas.map((replica) => ({ ...replica, noticed: false })),
+    replicas: state.replicas.map((replica) => ({ ...replica, suspected: false })),
   }),
   join: (state, { id = '' }) => {
     const { voters, learners } = state.members;
     return { ...state, members: { voters, learners: [...learners, id] } };
   },
-  catchUp: (state, { id = '' }) => change(state, id, { holds: true }),
+  catchUp: (state, { id = '' }) => setReplica(state, id, { isUpToDate: true }),
   // The least that may be waited for: the members of a quorum hold it, the others don't yet.
   accept: (state) => {
     const least = Math.floor(state.members.voters.length / 2) + 1;
-    const sound = state.members.voters.filter((id) => find(state, id)?.status === 'sound');
+    const sound = state.members.voters.filter((id) => findReplica(state, id)?.status === 'sound');
     const holders = new Set([leaderOf(state)?.id ?? '', ...sound].slice(0, least + 1));
     const quorum = new Set([...holders].slice(0, least));
     return {
       ...state,
-      replicas: state.replicas.map((known) => ({ ...known, holds: quorum.has(known.id) })),
+      replicas: state.replicas.map((known) => ({ ...known, isUpToDate: quorum.has(known.id) })),
     };
   },
-  change: (state, _event, bounds, on) => {
-    const next = nextChange(state, bounds, on);
-    return next === null ? state : tidy({ ...state, members: next.members });
+  change: (state, _event, bounds, enabled) => {
+    const next = nextChange(state, bounds, enabled);
+    return next === null ? state : dropUnusedReplicas({ ...state, members: next.members });
   },
-  settle: (state) => ({ ...state, open: 0 }),
+  settle: (state) => ({ ...state, unrepaired: 0 }),
 };
 
 const NAMES = 'abcdefg';
 
-function founder(at: number): string {
+function founderId(at: number): string {
   return `${NAMES[at] ?? ''}.0`;
 }
 
 /** Whether a replica may be hit next: its disk, or by silence. */
 function isNextHit(state: State, { id }: Replica, bounds: VotersBounds): [boolean, boolean] {
   return bounds.inOrder
-    ? [id === founder(state.losses), id === founder(bounds.hosts - 1 - state.silences)]
+    ? [id === founderId(state.losses), id === founderId(bounds.hosts - 1 - state.silences)]
     : [true, true];
 }
 
-function eventsOf(state: State, bounds: VotersBounds, on: Safeguards): readonly Event[] {
+function eventsOf(state: State, bounds: VotersBounds, enabled: Safeguards): readonly Event[] {
   const leader = leaderOf(state);
   const { voters, learners } = state.members;
-  const next = nextChange(state, bounds, on);
-  const mayLose = state.open < bounds.borne && state.losses < bounds.losses;
+  const next = nextChange(state, bounds, enabled);
+  const mayLose = state.unrepaired < bounds.borne && state.losses < bounds.losses;
   return [
     ...state.replicas.flatMap((replica): readonly Event[] => {
-      const { id, status, noticed, holds } = replica;
+      const { id, status, suspected, isUpToDate } = replica;
       const isMember = voters.includes(id) || learners.includes(id);
       const [isDiskNext, isSilentNext] = isNextHit(state, replica, bounds);
       return [
@@ -245,26 +255,28 @@
           ? [{ type: 'silence', id }]
           : []),
         ...(status === 'silent' ? [{ type: 'back', id }] : []),
-        ...(status !== 'sound' && !noticed && leader !== undefined ? [{ type: 'notice', id }] : []),
+        ...(status !== 'sound' && !suspected && leader !== undefined
+          ? [{ type: 'notice', id }]
+          : []),
         ...(status === 'sound' && !isMember && leader !== undefined ? [{ type: 'join', id }] : []),
-        ...(status === 'sound' && isMember && !holds && leader !== undefined
+        ...(status === 'sound' && isMember && !isUpToDate && leader !== undefined
           ? [{ type: 'catchUp', id }]
           : []),
       ];
     }),
     ...(leader === undefined ? [] : [{ type: 'accept' }]),
-    ...(next !== null && commits(state, next) ? [{ type: 'change' }] : []),
-    ...(on[OUTLIVES] === false ? [{ type: 'elect' }] : []),
-    ...(state.open > 0 && isSettled(state, bounds, on) ? [{ type: 'settle' }] : []),
+    ...(next !== null && canCommit(state, next) ? [{ type: 'change' }] : []),
+    ...(enabled[SILENCE_OUTLIVES_ELECTION] === false ? [{ type: 'elect' }] : []),
+    ...(state.unrepaired > 0 && isRepaired(state, bounds, enabled) ? [{ type: 'settle' }] : []),
   ];
 }
 
 function violationsOf(state: State): readonly string[] {
-  const kept = ({ status }: Replica): boolean => status !== 'gone';
-  const canForget = hasQuorum(state, (replica) => kept(replica) && !replica.holds);
+  const hasDisk = ({ status }: Replica): boolean => status !== 'gone';
+  const canElectOutdated = hasQuorum(state, (replica) => hasDisk(replica) && !replica.isUpToDate);
   return [
-    ...(hasQuorum(state, kept) ? [] : ['no leader can be elected any more']),
-    ...(canForget ? ['voters that lack what was accepted can elect a leader'] : []),
+    ...(hasQuorum(state, hasDisk) ? [] : ['no leader can be elected any more']),
+    ...(canElectOutdated ? ['voters that lack what was accepted can elect a leader'] : []),
   ];
 }
 
@@ -273,20 +285,20 @@
   bounds: VotersBounds,
   safeguards: readonly string[],
 ): Spec<State, Event> {
-  const voters = Array.from({ length: bounds.hosts }, (_none, i) => founder(i));
+  const voters = Array.from({ length: bounds.hosts }, (_none, i) => founderId(i));
   return {
     name: `voters of ${bounds.hosts} hosts`,
     bounds: JSON.stringify(bounds),
     safeguards,
     init: {
-      replicas: voters.map((id) => ({ id, status: 'sound', noticed: false, holds: true })),
+      replicas: voters.map((id) => ({ id, status: 'sound', suspected: false, isUpToDate: true })),
       members: { voters, learners: [] },
-      open: 0,
+      unrepaired: 0,
       losses: 0,
       silences: 0,
     },
-    events: (state, on) => eventsOf(state, bounds, on),
-    step: (state, event, on) => STEPS[event.type]?.(state, event, bounds, on) ?? state,
+    events: (state, enabled) => eventsOf(state, bounds, enabled),
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, bounds, enabled) ?? state,
     violations: violationsOf,
   };
 }
--- a/tools/Quickstart.ts
+++ b/tools/Quickstart.ts
@@ -8,19 +8,19 @@
 
 const REQUESTS = 200;
 const CONCURRENCY = 20;
-const LEAVING = 'stock-narrative-4';
-const LEAVE_AT = 80;
+const LEAVING_ENDPOINT = 'stock-narrative-4';
+const LEAVE_AFTER_ANSWERS = 80;
 
 const ROOT = fileURLToPath(new URL('../..', import.meta.url));
 const CLI = path.join(ROOT, 'dist/src/cli/CliMain.js');
 const MANIFEST = path.join(ROOT, 'manifests/stockdesk.yaml');
 const ZONES = ['ikeja', 'apapa', 'lekki'] as const;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-const model = (n: number, zone: string, ranks?: string): EndpointSpec => ({
+const modelEndpoint = (n: number, zone: string, ranks?: string): EndpointSpec => ({
   id: `stock-narrative-${n}`,
   zone,
   service: 'stock-narrative',
@@ -28,7 +28,7 @@
   ...(ranks === undefined ? {} : { group: 'stock-group-1', ranks }),
 });
 
-const plain = (service: string, zone: string): EndpointSpec => ({
+const serviceEndpoint = (service: string, zone: string): EndpointSpec => ({
   id: `${service}-${zone}`,
   zone,
   service,
@@ -36,13 +36,13 @@
 });
 
 const ENDPOINTS: readonly EndpointSpec[] = [
-  model(1, 'ikeja', '0-3'),
-  model(2, 'ikeja', '4-7'),
-  model(3, 'apapa'),
-  model(4, 'lekki'),
-  plain('stock-lookup', 'ikeja'),
-  plain('stock-lookup', 'lekki'),
-  plain('reorder', 'apapa'),
+  modelEndpoint(1, 'ikeja', '0-3'),
+  modelEndpoint(2, 'ikeja', '4-7'),
+  modelEndpoint(3, 'apapa'),
+  modelEndpoint(4, 'lekki'),
+  serviceEndpoint('stock-lookup', 'ikeja'),
+  serviceEndpoint('stock-lookup', 'lekki'),
+  serviceEndpoint('reorder', 'apapa'),
 ];
 
 async function runCli(args: readonly string[]): Promise<number | null> {
@@ -57,11 +57,11 @@
   return (await response.body.json()) as { inForce: number; live: number };
 }
 
-async function bringUp(cluster: QuickstartCluster): Promise<void> {
+async function startSystem(cluster: QuickstartCluster): Promise<void> {
   const startedAt = performance.now();
   const since = (): string => `${((performance.now() - startedAt) / 1000).toFixed(1)} s`;
   await cluster.start();
-  say(`3 control processes are up (${since()})`);
+  printLine(`3 control processes are up (${since()})`);
   const { controls, entries } = cluster.addresses;
   const code = await runCli(['manifest', 'submit', MANIFEST, '--api', controls.join(',')]);
   if (code !== 0) {
@@ -73,7 +73,9 @@
     const { inForce, live } = await fetchStatus(controls[0] ?? '');
     return live === expected && inForce === expected;
   });
-  say(`${entries.length} entry and ${ENDPOINTS.length} endpoint processes are ready (${since()})`);
+  printLine(
+    `${entries.length} entry and ${ENDPOINTS.length} endpoint processes are ready (${since()})`,
+  );
   await runCli(['endpoints', '--api', controls.join(',')]);
 }
 
@@ -86,27 +88,27 @@
 async function sendAll(cluster: QuickstartCluster): Promise<Tally> {
   const { entries } = cluster.addresses;
   const tally = { whole: 0, wrong: 0, lost: 0 };
-  let ended = 0;
-  let left: Promise<number | null> = Promise.resolve(0);
+  let answered = 0;
+  let hasLeft: Promise<number | null> = Promise.resolve(0);
   const onResult = (i: number, result: LoadResult): void => {
     tally[result.verdict] += 1;
-    ended += 1;
+    answered += 1;
     if (result.verdict !== 'whole') {
-      say(
+      printLine(
         `request ${i} (${makeCase(i).path}): ${result.verdict} ${result.status} ${result.detail}`,
       );
     }
-    if (ended === LEAVE_AT) {
-      say(`${LEAVING} leaves`);
-      left = cluster.processes.stop(LEAVING);
+    if (answered === LEAVE_AFTER_ANSWERS) {
+      printLine(`${LEAVING_ENDPOINT} leaves`);
+      hasLeft = cluster.processes.stop(LEAVING_ENDPOINT);
     }
-    if (ended % 50 === 0) {
-      say(`${ended} of ${REQUESTS} answered`);
+    if (answered % 50 === 0) {
+      printLine(`${answered} of ${REQUESTS} answered`);
     }
   };
   await runLoad(entries, REQUESTS, CONCURRENCY, onResult);
-  const code = await left;
-  say(`${LEAVING} has left, exit code ${code}`);
+  const code = await hasLeft;
+  printLine(`${LEAVING_ENDPOINT} has left, exit code ${code}`);
   return code === 0 ? tally : { ...tally, lost: tally.lost + 1 };
 }
 
@@ -117,13 +119,15 @@
   ).length;
 }
 
-function explain(cluster: QuickstartCluster): void {
+function printUsage(cluster: QuickstartCluster): void {
   const { entries, controls } = cluster.addresses;
   const body = '{"model":"stock-narrative","stream":true,"max_tokens":8,"prompt":"shelf 3"}';
-  say(`entry:   ${entries.join(' ')}`);
-  say(`control: ${controls.join(' ')}  (export LABURNUMGAUGE_API=${controls.join(',')})`);
-  say(`curl -N http://${entries[0]}/v1/completions -H 'x-customer: kano-pharmacy' -d '${body}'`);
-  say('stop with Ctrl-C');
+  printLine(`entry:   ${entries.join(' ')}`);
+  printLine(`control: ${controls.join(' ')}  (export LABURNUMGAUGE_API=${controls.join(',')})`);
+  printLine(
+    `curl -N http://${entries[0]}/v1/completions -H 'x-customer: kano-pharmacy' -d '${body}'`,
+  );
+  printLine('stop with Ctrl-C');
 }
 
 async function main(): Promise<number> {
@@ -137,23 +141,23 @@
     logLevel: 'info',
   });
   try {
-    await bringUp(cluster);
+    await startSystem(cluster);
     const { whole, wrong, lost } = await sendAll(cluster);
     const doubled = await countDoubled(cluster);
     await runCli(['groups', '--api', cluster.addresses.controls.join(',')]);
     const line = `${REQUESTS} requests, ${whole} whole, ${wrong} wrong, ${doubled} doubled, ${lost} lost`;
     if (process.argv.includes('--keep')) {
-      explain(cluster);
+      printUsage(cluster);
       await new Promise((resolve) => {
         process.once('SIGINT', resolve);
         process.once('SIGTERM', resolve);
       });
     }
     await cluster.processes.stopAll(8_000);
-    say(`quickstart: ${line}`);
+    printLine(`quickstart: ${line}`);
     return whole === REQUESTS && doubled === 0 ? 0 : 1;
   } catch (err) {
-    say(`quickstart failed: ${(err as Error).message}; logs are in .quickstart/`);
+    printLine(`quickstart failed: ${(err as Error).message}; logs are in .quickstart/`);
     await cluster.processes.stopAll(2_000);
     return 1;
   }
--- a/tools/QuickstartCluster.ts
+++ b/tools/QuickstartCluster.ts
@@ -4,7 +4,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { ownAddresses, QuickstartProcesses } from './QuickstartProcess.js';
+import { allocateAddresses, QuickstartProcesses } from './QuickstartProcess.js';
 
 /** The built programs, whether this runs from source or from `dist` itself. */
 const DIST = fileURLToPath(
@@ -33,7 +33,7 @@
   /** Slots, prefill in ms and ms between tokens of the stand-ins. */
   readonly engine: readonly [number, number, number];
   readonly logLevel: string;
-  readonly extraControl?: readonly string[];
+  readonly extraControlArgs?: readonly string[];
 }
 
 /** Addresses of what runs, `ip:port` by name. */
@@ -107,7 +107,7 @@
   }
 
   /** Name of the control process of a zone. */
-  static controlOf(zone: string): string {
+  static controlName(zone: string): string {
     return `control-${zone}`;
   }
 
@@ -117,19 +117,22 @@
     await rm(folder, { recursive: true, force: true });
     await mkdir(folder, { recursive: true });
     const count = zones.length * (2 + entriesPerZone) + endpoints.length * 2;
-    const addresses = [...ownAddresses(count)];
-    const take = (): string => addresses.pop() ?? '';
-    const links = zones.map((zone) => `${QuickstartCluster.controlOf(zone)}=${take()}`);
+    const addresses = [...allocateAddresses(count)];
+    const takeAddress = (): string => addresses.pop() ?? '';
+    const links = zones.map((zone) => `${QuickstartCluster.controlName(zone)}=${takeAddress()}`);
     const control = links.join(',');
     const controls = zones.map((zone, i) =>
-      this.#startControl(zone, links[i] ?? '', control, take()),
+      this.#startControl(zone, links[i] ?? '', control, takeAddress()),
     );
     const engines = Object.fromEntries(
-      endpoints.map((spec) => [spec.id, this.#startEndpoint(spec, control, take(), take())]),
+      endpoints.map((spec) => [
+        spec.id,
+        this.#startEndpoint(spec, control, takeAddress(), takeAddress()),
+      ]),
     );
     const entries = zones.flatMap((zone) =>
       Array.from({ length: entriesPerZone }, (_item, i) =>
-        this.#startEntry(`entry-${zone}-${i + 1}`, zone, control, take()),
+        this.#startEntry(`entry-${zone}-${i + 1}`, zone, control, takeAddress()),
       ),
     );
     this.#addresses = { controls, entries, engines };
@@ -154,13 +157,13 @@
   }
 
   #startControl(zone: string, link: string, control: string, http: string): string {
-    const id = QuickstartCluster.controlOf(zone);
+    const id = QuickstartCluster.controlName(zone);
     const address = link.split('=')[1] ?? '';
     const folder = path.join(this.#spec.folder, 'data', id);
     this.#daemon(id, [
       ...['control', '--id', id, '--zone', zone, '--http', http, '--link', address],
       ...['--control', control, '--data-folder', folder],
-      ...(this.#spec.extraControl ?? []),
+      ...(this.#spec.extraControlArgs ?? []),
     ]);
     return http;
   }
@@ -171,7 +174,7 @@
     this.restartFake(id);
     this.#daemon(id, [
       ...['endpoint', '--id', id, '--zone', zone, '--http', http, '--control', control],
-      ...['--zone-control', QuickstartCluster.controlOf(zone)],
+      ...['--zone-control', QuickstartCluster.controlName(zone)],
       ...['--engine', `http://${engine}`, '--fleet', this.#spec.fleet, '--service', service],
       ...['--slots', String(this.#spec.engine[0])],
       ...(group === undefined || ranks === undefined ? [] : ['--group', group, '--ranks', ranks]),
@@ -182,7 +185,7 @@
   #startEntry(id: string, zone: string, control: string, http: string): string {
     this.#daemon(id, [
       ...['entry', '--id', id, '--zone', zone, '--http', http, '--control', control],
-      ...['--zone-control', QuickstartCluster.controlOf(zone)],
+      ...['--zone-control', QuickstartCluster.controlName(zone)],
     ]);
     return http;
   }
--- a/tools/QuickstartLoad.ts
+++ b/tools/QuickstartLoad.ts
@@ -48,7 +48,7 @@
   return { path, headers: {}, body, expected: expectedReply(path, body), marker: body, repeatable };
 }
 
-const KINDS: readonly ((i: number) => LoadCase)[] = [
+const CASE_KINDS: readonly ((i: number) => LoadCase)[] = [
   (i) => completionCase(i, '/v1/chat/completions', true),
   (i) => completionCase(i, '/v1/completions', true),
   (i) => completionCase(i, '/v1/chat/completions', false),
@@ -58,10 +58,10 @@
 
 /** The i-th request: each kind in turn, each customer in turn. */
 export function makeCase(i: number): LoadCase {
-  const kind = KINDS[Math.floor(i / 2) % KINDS.length] ?? KINDS[0];
-  const made = kind?.(i) ?? completionCase(i, '/v1/completions', true);
+  const kind = CASE_KINDS[Math.floor(i / 2) % CASE_KINDS.length] ?? CASE_KINDS[0];
+  const loadCase = kind?.(i) ?? completionCase(i, '/v1/completions', true);
   const customer = CUSTOMERS[i % CUSTOMERS.length] ?? CUSTOMERS[0];
-  return { ...made, headers: { ...made.headers, 'x-customer': customer } };
+  return { ...loadCase, headers: { ...loadCase.headers, 'x-customer': customer } };
 }
 
 /** Sends one request and checks its answer. */
--- a/tools/QuickstartProcess.ts
+++ b/tools/QuickstartProcess.ts
@@ -28,23 +28,23 @@
 }
 
 /** Port of all addresses that are given out: below those that the kernel gives to outgoing connections. */
-const FIXED_PORT = 7_400;
+const LISTEN_PORT = 7_400;
 
 /** Addresses that one process gives out before it begins anew. */
-const OWN_ADDRESSES = 250;
+const MAX_ADDRESSES = 250;
 
-let given = 0;
+let lastAllocated = 0;
 
 /**
  * Addresses on loopback that nobody else uses, `ip:port`. A free port could be taken by an outgoing connection before
  * the process that it is meant for listens there.
  */
-export function ownAddresses(count: number): readonly string[] {
+export function allocateAddresses(count: number): readonly string[] {
   const net = process.pid % 2 ** 14;
   const prefix = `127.${64 + Math.floor(net / 256)}.${net % 256}`;
   return Array.from({ length: count }, () => {
-    given = (given % OWN_ADDRESSES) + 1;
-    return `${prefix}.${given}:${FIXED_PORT}`;
+    lastAllocated = (lastAllocated % MAX_ADDRESSES) + 1;
+    return `${prefix}.${lastAllocated}:${LISTEN_PORT}`;
   });
 }
 
@@ -100,18 +100,18 @@
     if (child.exitCode !== null || child.signalCode !== null) {
       return child.exitCode;
     }
-    const ended = new Promise<number | null>((resolve) => {
+    const exited = new Promise<number | null>((resolve) => {
       child.once('exit', resolve);
     });
     child.kill(signal);
-    return ended;
+    return exited;
   }
 
   /** Stops all: politely, and after some time for good. */
-  async stopAll(politeMs: number): Promise<void> {
+  async stopAll(graceMs: number): Promise<void> {
     const timer = setTimeout(() => {
       this.#children.forEach((child) => child.kill('SIGKILL'));
-    }, politeMs);
+    }, graceMs);
     await Promise.all(this.names.map(async (name) => this.stop(name)));
     clearTimeout(timer);
   }
--- a/tools/UnitMain.ts
+++ b/tools/UnitMain.ts
@@ -1,16 +1,21 @@
 /** Runs the tests given as arguments; those in KNOWN-RED.txt are reported and passed over. */
 import { spawn } from 'node:child_process';
 import { readFile } from 'node:fs/promises';
-import { judgeResults, parseKnownReds, parseResults, type KnownRed } from './UnitResults.js';
+import {
+  evaluateResults,
+  parseKnownFailures,
+  parseResults,
+  type KnownFailure,
+} from './UnitResults.js';
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 
 /** A test that takes longer has hung, ms. */
 const TEST_TIMEOUT_MS = 120_000;
 
-async function readKnownReds(): Promise<readonly KnownRed[]> {
+async function readKnownFailures(): Promise<readonly KnownFailure[]> {
   try {
-    return parseKnownReds(await readFile(KNOWN_RED_FILE, 'utf8'));
+    return parseKnownFailures(await readFile(KNOWN_RED_FILE, 'utf8'));
   } catch (err) {
     if ((err as NodeJS.ErrnoException).code === 'ENOENT') {
       return [];
@@ -34,10 +39,10 @@
   return { tap: Buffer.concat(chunks).toString('utf8'), code };
 }
 
-const known = await readKnownReds();
+const known = await readKnownFailures();
 const { tap, code } = await runTests(process.argv.slice(2));
 const results = parseResults(tap);
-const verdict = judgeResults(results, known);
+const verdict = evaluateResults(results, known);
 verdict.lines.forEach((line) => process.stderr.write(`${line}\n`));
 // A runner that failed without a failed test, as on a file that can't be loaded, has failed.
 const unexplained = code !== 0 && results.failed.size === 0;
--- a/tools/UnitResults.ts
+++ b/tools/UnitResults.ts
@@ -1,7 +1,7 @@
 /** Results of a test run in TAP, set against the tests that are known to fail. */
 
 /** A test that is known to fail, as KNOWN-RED.txt lists it: `name | cause | issue`. */
-export interface KnownRed {
+export interface KnownFailure {
   readonly name: string;
   readonly cause: string;
   readonly issue: string;
@@ -24,10 +24,10 @@
 const RESULT = /^\s*(not )?ok \d+ - (.*?)(?: # .*)?$/;
 
 /** A suite that failed because of its tests says so in the block behind its line. */
-const BY_CONTENT = "failureType: 'subtestsFailed'";
+const SUBTESTS_FAILED = "failureType: 'subtestsFailed'";
 
 /** Reads KNOWN-RED.txt; empty lines are left out. */
-export function parseKnownReds(text: string): readonly KnownRed[] {
+export function parseKnownFailures(text: string): readonly KnownFailure[] {
   return text
     .split('\n')
     .filter((line) => line.trim() !== '')
@@ -51,7 +51,7 @@
       if (last !== null) {
         failed.add(last);
       }
-    } else if (last !== null && line.includes(BY_CONTENT)) {
+    } else if (last !== null && line.includes(SUBTESTS_FAILED)) {
       failed.delete(last);
     }
   });
@@ -59,7 +59,7 @@
 }
 
 /** Judges a run: only known tests may fail, and each known name must be that of a test. */
-export function judgeResults(results: UnitResults, known: readonly KnownRed[]): UnitVerdict {
+export function evaluateResults(results: UnitResults, known: readonly KnownFailure[]): UnitVerdict {
   const names = new Set(known.map(({ name }) => name));
   const reports = known.map(({ name, cause, issue }) => {
     if (!results.seen.has(name)) {
--- a/tools/__tests__/unit/ControlFailure.test.ts
+++ b/tools/__tests__/unit/ControlFailure.test.ts
@@ -11,7 +11,7 @@
 import { QuickstartCluster, waitReady, waitUntil } from '../../QuickstartCluster.js';
 
 const ZONES = ['ikeja', 'apapa', 'lekki'] as const;
-const CONTROLS = ZONES.map((zone) => QuickstartCluster.controlOf(zone));
+const CONTROLS = ZONES.map((zone) => QuickstartCluster.controlName(zone));
 
 /** Lines of each process's log that a failure shows. */
 const LOG_LINES = 40;
@@ -48,15 +48,16 @@
   let folder = '';
   let version = 0;
 
-  const http = (name: string): string => cluster.addresses.controls[CONTROLS.indexOf(name)] ?? '';
+  const httpAddress = (name: string): string =>
+    cluster.addresses.controls[CONTROLS.indexOf(name)] ?? '';
 
   const status = async (name: string): Promise<Status> => {
-    const response = await request(`http://${http(name)}/v1/status`);
+    const response = await request(`http://${httpAddress(name)}/v1/status`);
     return (await response.body.json()) as Status;
   };
 
   /** Who is attached where, by each control process's own account, for the message of a failure. */
-  const whoIsWhere = async (): Promise<string> => {
+  const describeAttachments = async (): Promise<string> => {
     const rows = await Promise.all(
       CONTROLS.map(async (name) => (await status(name)).controls.find((row) => row.name === name)),
     );
@@ -70,14 +71,14 @@
     try {
       await step();
     } catch (err) {
-      const attached = await whoIsWhere().catch((unknown: unknown) => String(unknown));
+      const attached = await describeAttachments().catch((unknown: unknown) => String(unknown));
       const logs = await cluster.processes.readLogs(LOG_LINES);
       throw new Error(`${(err as Error).message}\n${attached}\n${logs}`, { cause: err });
     }
   };
 
   const post = async (name: string, route: string, body: string): Promise<unknown> => {
-    const response = await request(`http://${http(name)}${route}`, { method: 'POST', body });
+    const response = await request(`http://${httpAddress(name)}${route}`, { method: 'POST', body });
     return response.body.json();
   };
 
@@ -105,7 +106,7 @@
     return leader;
   };
 
-  const inForce = async (name: string, limitMs = 10_000): Promise<void> =>
+  const waitInForce = async (name: string, limitMs = 10_000): Promise<void> =>
     waitUntil('in force everywhere', limitMs, async () => {
       const { inForce: count, live } = await status(name);
       return count === live && live === ZONES.length * 2;
@@ -136,14 +137,14 @@
       })),
       engine: [8, 1, 1],
       logLevel: 'info',
-      extraControl: ['--test-switch', 'true', '--compact-every', '64'],
+      extraControlArgs: ['--test-switch', 'true', '--compact-every', '64'],
     });
     await withLogs(async () => {
       await cluster.start();
       version += 1;
       assert.equal((await submit(CONTROLS[0] ?? '', manifest(version))).result, 'accepted');
       await waitReady(cluster.addresses.entries);
-      await inForce(CONTROLS[0] ?? '');
+      await waitInForce(CONTROLS[0] ?? '');
     });
   });
 
@@ -169,9 +170,9 @@
       assert.equal(accepted.result, 'accepted');
       assert.equal((await submit(other, manifest(version, 99))).result, 'conflict');
       cluster.restart(leader);
-      await waitReady([http(leader)]);
+      await waitReady([httpAddress(leader)]);
       assert.deepEqual(await submit(leader, manifest(version)), accepted);
-      await inForce(other);
+      await waitInForce(other);
     }));
 
   // The leader is frozen for longer than an election takes; others accept a change meanwhile. It
@@ -192,7 +193,7 @@
       const settled =
         raced.result === 'unavailable' ? await submit(leader, manifest(version, 500)) : raced;
       assert.equal(settled.result, 'conflict');
-      await inForce(leader);
+      await waitInForce(leader);
     }));
 
   // A host loses its disk and is repaired with an empty one; right after it is back, a second host
@@ -215,8 +216,8 @@
       version += 1;
       assert.equal((await submit(third, manifest(version))).result, 'accepted');
       cluster.restart(second);
-      await waitReady([http(second)]);
-      await inForce(third);
+      await waitReady([httpAddress(second)]);
+      await waitInForce(third);
     }));
 
   // An AZ is cut off. The others accept a change; the cut-off AZ goes on serving on what it has.
@@ -226,13 +227,13 @@
     withLogs(async () => {
       const cutOff = CONTROLS[2] ?? '';
       const others = CONTROLS.slice(0, 2);
-      const attachedHere = async (): Promise<boolean> => {
+      const hasBothAttached = async (): Promise<boolean> => {
         const own = (await status(cutOff)).controls.find(({ name }) => name === cutOff);
         return own?.attached.length === 2;
       };
       const allHere = 'all attached to the control process of their AZ';
-      await waitUntil(allHere, 20_000, attachedHere);
-      const held = (await status(cutOff)).configIndex;
+      await waitUntil(allHere, 20_000, hasBothAttached);
+      const indexBefore = (await status(cutOff)).configIndex;
       const cut = JSON.stringify({ peers: [cutOff, 'entry-lekki-1', 'lookup-lekki'] });
       await Promise.all(others.map(async (name) => post(name, '/test/cut', cut)));
       await post(cutOff, '/test/cut', JSON.stringify({ peers: others }));
@@ -244,16 +245,16 @@
       cluster.restart(cutOff, ['--test-cut', others.join(',')]);
       await cluster.processes.stop('entry-lekki-1', 'SIGKILL');
       cluster.restart('entry-lekki-1');
-      await waitReady([http(cutOff), cluster.addresses.entries[2] ?? '']);
+      await waitReady([httpAddress(cutOff), cluster.addresses.entries[2] ?? '']);
       const own = (await status(cutOff)).controls.find(({ name }) => name === cutOff);
-      assert.deepEqual([own?.rollout, own?.configIndex], ['cutOff', held]);
-      await waitUntil('the endpoint is attached again', 20_000, attachedHere);
+      assert.deepEqual([own?.rollout, own?.configIndex], ['cutOff', indexBefore]);
+      await waitUntil('the endpoint is attached again', 20_000, hasBothAttached);
       await call(2);
       const refused = (await post(cutOff, '/v1/manifests', manifest(version + 1))) as SubmitReply;
       assert.equal(refused.result, 'unavailable');
       const heal = JSON.stringify({ peers: [] });
       await Promise.all(CONTROLS.map(async (name) => post(name, '/test/cut', heal)));
-      await inForce(others[0] ?? '', 30_000);
+      await waitInForce(others[0] ?? '', 30_000);
     }));
 
   // Three hundred changes go by, then every process is killed and started again, as after a power
@@ -275,7 +276,7 @@
       await Promise.all(daemons.map(async (name) => cluster.processes.stop(name, 'SIGKILL')));
       daemons.forEach((name) => cluster.restart(name));
       await waitReady([...cluster.addresses.controls, ...cluster.addresses.entries]);
-      await inForce(leader, 20_000);
+      await waitInForce(leader, 20_000);
       assert.equal((await status(leader)).configIndex, newest);
       assert.deepEqual(await submit(leader, manifest(version + 1)), first);
       await Promise.all([0, 1, 2].map(call));
--- a/tools/__tests__/unit/DataPathFailure.test.ts
+++ b/tools/__tests__/unit/DataPathFailure.test.ts
@@ -22,7 +22,7 @@
   customers: [{ name: 'kano' }],
 });
 
-interface Sent {
+interface Answer {
   readonly status: number;
   readonly text: string;
 }
@@ -42,7 +42,7 @@
   const send = async (
     spec: ReturnType<typeof body>,
     headers: Readonly<Record<string, string>> = {},
-  ): Promise<Sent> => {
+  ): Promise<Answer> => {
     const response = await request(`http://${cluster.addresses.entries[0] ?? ''}/v1/completions`, {
       method: 'POST',
       headers: { 'x-customer': 'kano', ...headers },
@@ -68,10 +68,10 @@
     return found;
   };
 
-  const errorOf = ({ text }: Sent): ErrorBody['error'] => (JSON.parse(text) as ErrorBody).error;
+  const errorOf = ({ text }: Answer): ErrorBody['error'] => (JSON.parse(text) as ErrorBody).error;
 
   /** Waits until both endpoints take work again. */
-  const bothServe = async (): Promise<void> => {
+  const waitBothServing = async (): Promise<void> => {
     const control = cluster.addresses.controls[0] ?? '';
     await waitUntil('two endpoints serve', 15_000, async () => {
       const response = await request(`http://${control}/v1/endpoints`);
@@ -108,7 +108,7 @@
       body: MANIFEST,
     });
     await waitReady(cluster.addresses.entries);
-    await bothServe();
+    await waitBothServing();
   });
 
   after(async () => {
@@ -126,7 +126,7 @@
     await cluster.processes.stop(engine, 'SIGKILL');
     assert.equal((await answer).text, expectedAnswer(spec));
     cluster.restart(engine);
-    await bothServe();
+    await waitBothServing();
   });
 
   // As above, for a call that may not be repeated. It had been started and nobody can tell how far
@@ -141,7 +141,7 @@
     const runs = await countRuns(Object.values(cluster.addresses.engines));
     assert.equal(runs.get('once'), 1);
     cluster.restart(engine);
-    await bothServe();
+    await waitBothServing();
   });
 
   // An engine dies in the middle of a stream; its gate lives. What was sent can't be taken back, so
@@ -175,18 +175,18 @@
     const leaving = await findEngine('long');
     const left = cluster.processes.stop(leaving);
     await delay(300);
-    const news = Array.from({ length: 6 }, (_item, i) => body(`news-${i}`, false, 2));
-    const answers = await Promise.all(news.map(async (item) => send(item)));
+    const newRequests = Array.from({ length: 6 }, (_item, i) => body(`news-${i}`, false, 2));
+    const answers = await Promise.all(newRequests.map(async (item) => send(item)));
     assert.deepEqual(
       answers.map(({ text }) => text),
-      news.map(expectedAnswer),
+      newRequests.map(expectedAnswer),
     );
     const there = await countRuns([cluster.addresses.engines[leaving] ?? '']);
     assert.equal([...there.keys()].filter((user) => user.startsWith('news-')).length, 0);
     assert.equal((await answer).text, expectedAnswer(spec));
     assert.equal(await left, 0);
     cluster.restart(leaving);
-    await bothServe();
+    await waitBothServing();
   });
 
   // A gate is frozen with a call before it: neither an answer nor an end of the connection comes.
@@ -208,17 +208,17 @@
     const fatal = { ...body('fatal', false, 4), fatal: true };
     const names = ['fake-engine-1', 'fake-engine-2'];
     /** Starts those again that have ended; how many. */
-    const restartDead = (): number => {
-      const dead = names.filter((name) => cluster.processes.get(name).exitCode !== null);
-      dead.forEach((name) => cluster.restartFake(name.replace('fake-', '')));
-      return dead.length;
+    const restartCrashed = (): number => {
+      const crashed = names.filter((name) => cluster.processes.get(name).exitCode !== null);
+      crashed.forEach((name) => cluster.restartFake(name.replace('fake-', '')));
+      return crashed.length;
     };
     /** Waits until both listen again; how many had ended. */
-    const allBack = async (): Promise<number> => {
+    const waitAllListening = async (): Promise<number> => {
       let count = 0;
       await waitUntil('the stand-ins listen', 10_000, async () => {
         // The end of a process is told a moment after its connections have ended.
-        count += restartDead();
+        count += restartCrashed();
         return countRuns(Object.values(cluster.addresses.engines)).then(
           () => true,
           () => false,
@@ -226,15 +226,15 @@
       });
       return count;
     };
-    const ends: number[] = [];
+    const crashes: number[] = [];
     const codes: string[] = [];
     for (let i = 0; i < 4; i += 1) {
       // eslint-disable-next-line no-await-in-loop
       codes.push(errorOf(await send(fatal)).code);
       // eslint-disable-next-line no-await-in-loop
-      ends.push(await allBack());
+      crashes.push(await waitAllListening());
     }
-    assert.deepEqual(ends, [2, 1, 0, 0]);
+    assert.deepEqual(crashes, [2, 1, 0, 0]);
     assert.deepEqual(codes.slice(2), ['quarantined', 'quarantined']);
     const spec = body('beside', false, 4);
     assert.equal((await send(spec)).text, expectedAnswer(spec));
--- a/tools/__tests__/unit/UnitResults.test.ts
+++ b/tools/__tests__/unit/UnitResults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { judgeResults, parseKnownReds, parseResults } from '../../UnitResults.js';
+import { evaluateResults, parseKnownFailures, parseResults } from '../../UnitResults.js';
 
 const TAP = `TAP version 13
 # Subtest: a suite
@@ -22,28 +22,31 @@
 1..1
 `;
 
-const KNOWN = parseKnownReds('breaks | a real fault | 12\n');
+const KNOWN = parseKnownFailures('breaks | a real fault | 12\n');
 
 describe('judgeResults', () => {
   it('fails a run with a test that is not known to fail', () => {
-    const verdict = judgeResults(parseResults(TAP), []);
+    const verdict = evaluateResults(parseResults(TAP), []);
     assert.deepEqual(verdict, { ok: false, lines: ['failed: breaks'] });
   });
 
   it('passes over just the tests that are known, and says what they did', () => {
-    const verdict = judgeResults(parseResults(TAP), KNOWN);
+    const verdict = evaluateResults(parseResults(TAP), KNOWN);
     assert.equal(verdict.ok, true);
     assert.deepEqual(verdict.lines, [
       'known red, failed this time: breaks (a real fault, issue 12)',
     ]);
-    const passed = judgeResults(parseResults(TAP.replace('not ok 2', 'ok 2')), KNOWN);
+    const passed = evaluateResults(parseResults(TAP.replace('not ok 2', 'ok 2')), KNOWN);
     assert.match(passed.lines[0] ?? '', /passed this time/);
   });
 
   // A test is renamed or deleted while its name stays in the list: nothing is left that would show when
   // the fault comes back, so the list itself fails the run.
   it('fails on a known name that no test has', () => {
-    const verdict = judgeResults(parseResults(TAP), parseKnownReds('gone | x | 1\nbreaks | y | 2'));
+    const verdict = evaluateResults(
+      parseResults(TAP),
+      parseKnownFailures('gone | x | 1\nbreaks | y | 2'),
+    );
     assert.equal(verdict.ok, false);
     assert.match(verdict.lines[0] ?? '', /no test is named "gone"/);
   });
