--- a/spec/SpecConsensus.ts
+++ b/spec/SpecConsensus.ts
@@ -1,13 +1,13 @@
 /**
- * Specification of election, commit and the replacement of a voter.
+ * Specification of leader election, commit and the replacement of a voter.
  *
- * Messages need no state of their own: a leader's log only grows within its term, so "any prefix of
- * it may arrive at any replica at any time, any number of times, or never" covers loss, delay,
- * doubling and reordering; likewise a vote once given may be counted at any later time.
+ * Messages in flight aren't part of the state. A leader's log only grows within its term, so any prefix
+ * of it may arrive at any replica at any time, any number of times, or never; this covers loss, delay,
+ * duplication and reordering. Likewise a vote that was granted may be counted at any later time.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
-/** An entry: its term, and the voters from here on where it changes them. */
+/** A log entry: its term, and the new voters if it changes them. Names are short since states serve as keys. */
 interface Entry {
   readonly t: number;
   readonly v?: string;
@@ -16,29 +16,29 @@
 interface Replica {
   readonly term: number;
   readonly log: readonly Entry[];
-  /** Whom it voted for, by term; `votes[0]` is unused. What a disk holds. */
+  /** Candidate voted for in each term, as persisted on disk; `votes[0]` is unused. */
   readonly votes: readonly string[];
-  /** Whether the log's last entry has been synced. */
+  /** Number of log entries that have been synced to disk. */
   readonly synced: number;
 }
 
-/** What happened in a term. */
+/** Leader of a term, its log, and the votes and acknowledgements it may count. */
 interface Term {
   readonly leader: string;
   readonly leading: boolean;
   readonly log: readonly Entry[];
-  /** Longest match acknowledged, by replica. */
+  /** Highest index that each replica has acknowledged. */
   readonly acks: Readonly<Record<string, number>>;
-  /** Votes that were given in this term, also those that the voter forgot: `voter>candidate`. */
+  /** Votes granted in this term, as `voter>candidate`, including those the voter has lost from its disk. */
   readonly given: readonly string[];
 }
 
 interface State {
   readonly replicas: Readonly<Record<string, Replica>>;
   readonly terms: readonly Term[];
-  /** What a leader has told callers to be accepted. */
+  /** Entries that a leader has reported to callers as accepted. */
   readonly committed: readonly Entry[];
-  /** Term in which the newest of them was. */
+  /** Highest term in which an entry was committed. */
   readonly committedTerm: number;
   readonly broken: readonly string[];
   readonly wiped: boolean;
@@ -56,17 +56,17 @@
   readonly terms: number;
   readonly log: number;
   readonly crashes: number;
-  /** Who may stand for election. */
+  /** Replicas that may campaign. */
   readonly candidates: string;
   /** Whether replica c may lose its disk and be replaced by d. */
   readonly replace: boolean;
-  /** Where to start: see the functions of these names. */
+  /** Name of the initial state, a key of `INITIAL_STATES`. */
   readonly start?: 'empty' | 'after two terms' | 'after one commit';
 }
 
 const INITIAL_VOTERS = 'abc';
 
-/** The steps of a replacement: one voter at a time, or (mutant) both at once. */
+/** Voter changes of a replacement, one voter at a time: each set of voters with the one that follows it. */
 const VOTER_CHANGES: Readonly<Record<string, string>> = { abc: 'abcd', abcd: 'abd' };
 
 function votersOf(log: readonly Entry[]): string {
@@ -110,7 +110,7 @@
   return state.terms[term] ?? emptyTerm();
 }
 
-/** A candidate's votes in a term, as ever given. */
+/** Replicas that have granted a candidate their vote in a term. */
 function votesFor(state: State, term: number, id: string): readonly string[] {
   return termOf(state, term)
     .given.filter((vote) => vote.endsWith(`>${id}`))
@@ -124,7 +124,7 @@
 type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
-  /** Votes for oneself in a new term. */
+  /** `id` starts a new term and votes for itself. */
   campaign: (state, { id, term }) => {
     const votes = [...replicaOf(state, id).votes];
     votes[term] = id;
@@ -132,7 +132,7 @@
     const next = setReplica(state, id, { term, votes: Array.from(votes, (vote) => vote ?? '') });
     return setTerm(next, term, { given });
   },
-  /** `id` votes for the candidate number `n`. */
+  /** `id` votes for the candidate with index `n` in `abcd`. */
   vote: (state, { id, term, n = 0 }) => {
     const candidate = 'abcd'[n] ?? '';
     const votes = Array.from(replicaOf(state, id).votes, (vote) => vote ?? '');
@@ -145,7 +145,7 @@
     const known = termOf(state, term);
     const broken = known.leader !== '' && known.leader !== id ? ['two leaders in a term'] : [];
     const { log } = replicaOf(state, id);
-    // A leader of an older term that wakes late can't undo anything: it needn't know.
+    // A leader of an older term that acts late can't undo what was committed since, so it needn't hold it.
     const lost = term > state.committedTerm && state.committed.some(({ t }, i) => log[i]?.t !== t);
     const next = setTerm(state, term, { leader: id, leading: true, log, acks: { [id]: 0 } });
     return {
@@ -153,7 +153,7 @@
       broken: [...state.broken, ...broken, ...(lost ? ['an accepted entry was lost'] : [])],
     };
   },
-  /** Appends an entry of its own; `n` 1 changes the voters. */
+  /** The leader appends an entry; with `n` = 1 the entry changes the voters. */
   append: (state, { id, term, n = 0 }, enabled) => {
     const { log } = termOf(state, term);
     const voters = votersOf(log);
@@ -162,7 +162,7 @@
     const next = [...log, entry];
     return setTerm(setReplica(state, id, { log: next, synced: next.length }), term, { log: next });
   },
-  /** The first `n` entries of a leader's log arrive. */
+  /** The first `n` entries of the leader's log arrive at `id`. */
   receive: (state, { id, term, n = 0 }, enabled) => {
     const known = replicaOf(state, id);
     const sent = termOf(state, term).log.slice(0, n);
@@ -190,7 +190,7 @@
       broken: differs ? [...state.broken, 'two accepted entries at one index'] : state.broken,
     };
   },
-  /** Stops and starts: what was not synced is gone, and so is the lead. */
+  /** Crashes and restarts: unsynced entries are lost, and a leader stops leading. */
   crash: (state, { id, term }, enabled) => {
     const known = replicaOf(state, id);
     const votes = enabled['sync the vote'] === false ? [] : known.votes;
@@ -199,7 +199,7 @@
     const stopped = led ? setTerm(next, term, { leading: false }) : next;
     return { ...stopped, crashes: state.crashes + 1 };
   },
-  /** Loses its disk: it returns as d, without a vote, or (mutant) under its own name. */
+  /** Loses its disk. It returns as replica d, which is not a voter yet, or (mutant) under its old id. */
   wipe: (state, { id }, enabled) => {
     const kept =
       enabled['new identity after a lost disk'] === false
@@ -301,7 +301,7 @@
   ];
 }
 
-/** The situation of section 5.4.2 in the paper on Raft, from which counting alone goes wrong. */
+/** The situation of section 5.4.2 of the Raft paper: counting replicas doesn't suffice to commit an older entry. */
 function afterTwoTerms(state: State): State {
   const replicas = {
     a: { term: 1, log: [{ t: 1 }], votes: ['', 'a'], synced: 1 },
@@ -313,7 +313,7 @@
   return setTerm(setTerm({ ...state, replicas }, 1, first), 2, second);
 }
 
-/** Leader a has an entry accepted that c acknowledged and b doesn't have. */
+/** Leader a has committed an entry that c acknowledged and b doesn't have. */
 function afterOneCommit(state: State): State {
   const log = [{ t: 1 }];
   const replicas = {
@@ -334,7 +334,7 @@
   'after one commit': afterOneCommit,
 };
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds and safeguards. */
 export function makeConsensusSpec(
   name: string,
   bounds: ConsensusBounds,
--- a/spec/SpecExplorer.ts
+++ b/spec/SpecExplorer.ts
@@ -1,12 +1,12 @@
-/** Explores every state of a specification, by xstate's `getAdjacencyMap`. */
+/** Explores every reachable state of a specification with xstate's `getAdjacencyMap`. */
 import { fromTransition, type AnyActorLogic } from 'xstate';
 import { getAdjacencyMap } from 'xstate/graph';
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
-/** More states than this are a mistake in a specification's bounds. */
+/** Limit on the number of states; a specification that exceeds it has wrong bounds. */
 const STATE_LIMIT = 3_000_000;
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration {
   readonly states: number;
   readonly transitions: number;
@@ -21,7 +21,7 @@
   return [type, ...details].join(' ');
 }
 
-/** How a state was first reached. */
+/** The state and event from which a state was first reached. */
 interface Origin {
   readonly from: string;
   readonly event: SpecEvent;
@@ -33,8 +33,8 @@
 }
 
 /**
- * Visits all states and checks the invariants in each. The library goes breadth first, so the first
- * violation found has the shortest trace; nothing is gone beyond then.
+ * Visits all states and checks the invariants in each. The library searches breadth first, so the first
+ * violation found has the shortest trace; the search stops there.
  */
 export function exploreSpec<S, E extends SpecEvent>(
   spec: Spec<S, E>,
@@ -55,7 +55,7 @@
     if (violation !== null) {
       return [];
     }
-    // Only events that lead to states not met yet are handed on, so that the queue stays short.
+    // Only events that lead to unvisited states are returned, which keeps the library's queue short.
     return spec.events(context, enabled).filter((event) => {
       transitions += 1;
       const next = JSON.stringify(spec.step(context, event, enabled));
@@ -83,7 +83,7 @@
   };
 }
 
-/** All safeguards on, but those named. */
+/** Enables all safeguards except those named. */
 export function safeguardsWithout(
   spec: { readonly safeguards: readonly string[] },
   off: readonly string[] = [],
--- a/spec/SpecLease.ts
+++ b/spec/SpecLease.ts
@@ -1,13 +1,13 @@
 /**
- * Specification of a group's lease: the log grants it with rising tokens, holders freeze, wake and end,
- * orders are late, and the gate in front of an engine restarts. The engine ignores tokens.
+ * Specification of a group's lease: the log grants it with increasing tokens, holders freeze, resume and
+ * crash, orders are delayed, and the gate in front of an engine restarts. The engine itself ignores tokens.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
 interface Holder {
-  /** Token under which it believes to hold the lease; 0 for none. */
+  /** Token under which it believes that it holds the lease; 0 for none. */
   readonly token: number;
-  /** Whether its lease has run out by its own clock, which it learns when it looks. */
+  /** Whether its lease has expired by its own clock; it notices this only when it checks. */
   readonly expired: boolean;
 }
 
@@ -15,13 +15,13 @@
   /** Newest token granted by the log. */
   readonly granted: number;
   readonly holders: readonly Holder[];
-  /** Orders on their way to the gate, by token. */
+  /** Tokens of the orders in flight to the gate. */
   readonly toGate: readonly number[];
-  /** Orders that the gate has passed on, on their way to the engine. */
+  /** Tokens of the orders that the gate has forwarded and that are in flight to the engine. */
   readonly toEngine: readonly number[];
-  /** Highest token that the gate knows; -1 while it has restarted and not learned it again. */
+  /** Highest token that the gate has seen; -1 after a restart, until it has read the token again. */
   readonly highestToken: number;
-  /** Token of the newest order that the engine has carried out. */
+  /** Highest token of the orders that the engine has executed. */
   readonly executedToken: number;
   readonly restarts: number;
   readonly broken: readonly string[];
@@ -68,16 +68,16 @@
 const STEPS: Readonly<Record<string, Step>> = {
   grant: (state, { i = 0 }) => {
     const token = state.granted + 1;
-    // Two who may use the lease at once by their own clocks: the log must never allow that.
+    // The log must never allow two holders whose leases are both valid by their own clocks.
     const overlaps = state.holders.some((known, j) => j !== i && known.token > 0 && !known.expired);
     const broken = overlaps ? [...state.broken, 'two holders whose leases both run'] : state.broken;
     return { ...setHolder(state, i, { token, expired: false }), granted: token, broken };
   },
   expire: (state, { i = 0 }) => setHolder(state, i, { expired: true }),
   notice: (state, { i = 0 }) => setHolder(state, i, { token: 0 }),
-  /** Its process ends, and its host says so: what it sent is still on its way, and the lease is free. */
+  /** Its process ends and its host reports that: the lease is free, but orders it sent are still in flight. */
   end: (state, { i = 0 }) => setHolder(state, i, { token: 0, expired: false }),
-  /** It looked before it froze; it wakes and sends, though the lease has run out meanwhile. */
+  /** Sends an order. It may have checked its lease before it froze, so the lease may have expired since. */
   order: (state, { i = 0 }) => ({
     ...state,
     toGate: add(state.toGate, state.holders[i]?.token ?? 0),
@@ -112,7 +112,7 @@
 function gateEvents(state: State, enabled: Safeguards): readonly Event[] {
   const knowsToken =
     state.highestToken >= 0 || enabled['learn the token from a quorum after a restart'] === false;
-  // A newer owner's order waits until none of an older one can still be on its way to the engine.
+  // An order of a newer holder waits until no order of an older holder is still in flight to the engine.
   const mayPass = (token: number): boolean =>
     enabled['wait out orders on their way to the engine'] === false ||
     state.toEngine.every((other) => other >= token);
@@ -145,7 +145,7 @@
   ];
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds. */
 export function makeLeaseSpec(bounds: LeaseBounds): Spec<State, Event> {
   return {
     name: 'lease, fencing and restart of the gate',
--- a/spec/SpecList.ts
+++ b/spec/SpecList.ts
@@ -6,7 +6,7 @@
 import { makeVotersSpec, VOTERS_SAFEGUARDS } from './SpecVoters.js';
 import type { Spec, SpecEvent } from './SpecTypes.js';
 
-/** What `npm run check:model` explores. */
+/** The specifications that `npm run check:model` explores. */
 export const SPECS = [
   makeConsensusSpec(
     'election and commit',
--- a/spec/SpecMain.ts
+++ b/spec/SpecMain.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run check:model`: explores every specification; with `--mutants` also each safeguard left
- * out, which must break an invariant. Fails on a violation, and on a mutant that survives.
+ * `npm run check:model`: explores every specification. With `--mutants` it also explores each one with a
+ * single safeguard disabled, which must violate an invariant. Fails on a violation of a whole specification,
+ * and on a mutant without one.
  */
 import { exploreSpec, safeguardsWithout } from './SpecExplorer.js';
 import { SPECS } from './SpecList.js';
--- a/spec/SpecMapChange.ts
+++ b/spec/SpecMapChange.ts
@@ -1,21 +1,22 @@
 /**
- * Specification of a map change over the ranks of a group, by a coordinator and the one that
- * replaces it while the first still lives.
+ * Specification of a map change over the ranks of a group, by a coordinator and a second one that
+ * replaces it while the first is still running.
  *
- * Orders once sent may arrive at any later time, as often as they like, or never; so may answers.
- * Ranks are alike, so states that differ only in their order are one.
+ * An order that was sent may arrive at any later time, any number of times, or never; so may an answer.
+ * Ranks are interchangeable, so states that differ only in the order of ranks count as one.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
+/** State of a rank. Names are short since states serve as keys. */
 interface Rank {
   /** Highest token seen. */
   readonly h: number;
-  /** Version in use; prepared, armed and committed version, 0 for none. */
+  /** Map version in use `v`, and the prepared `p`, armed `a` and committed `c` version, each 0 for none. */
   readonly v: number;
   readonly p: number;
   readonly a: number;
   readonly c: number;
-  /** Answers given, `kind.token.version`; to a query with what it told. */
+  /** Answers sent, `kind.token.version`; the answer to a query lists `v`, `p`, `a` and `c` instead of the version. */
   readonly answers: readonly string[];
 }
 
@@ -30,7 +31,7 @@
   readonly coordinators: readonly Coordinator[];
   /** Orders sent, `kind.token.version`. */
   readonly sent: readonly string[];
-  /** Versions whose armed step has come. */
+  /** Versions whose armed step has been reached. */
   readonly reached: readonly number[];
   readonly broken: readonly string[];
 }
@@ -59,7 +60,7 @@
 
 const FIRST_VERSION = 1;
 
-/** Letter of the order that each phase sends. */
+/** Kind of order that each phase sends. */
 const ORDER_KINDS: Readonly<Record<string, string>> = {
   learning: 'q',
   preparing: 'p',
@@ -90,7 +91,7 @@
   return { ...state, coordinators, sent };
 }
 
-/** What a rank makes of an order; null if it refuses. */
+/** State of a rank after an order; null if it refuses the order. */
 function applyOrder(rank: Rank, kind: string, version: number, enabled: Safeguards): Rank | null {
   const rules: Readonly<Record<string, () => Rank | null>> = {
     q: () => rank,
@@ -106,7 +107,7 @@
       if (rank.c === version || rank.v >= version) {
         return null;
       }
-      // Only what the abort is about: an older version may be committed and not yet in use.
+      // Drops only the version that is named: an older one may be committed and not yet in use.
       const other = rank.p !== version && enabled['abort only the version named'] !== false;
       return other ? rank : { ...rank, p: 0, a: 0 };
     },
@@ -127,7 +128,7 @@
   readonly c: number;
 }
 
-/** First answers of all ranks to a query; null while one is missing. */
+/** Each rank's first answer to a query; null while one is missing. */
 function queryAnswers(state: State, token: number): readonly RankState[] | null {
   const told = state.ranks.map(({ answers }) =>
     answers.find((text) => text.startsWith(`q.${token}.`)),
@@ -159,7 +160,7 @@
 
 const STEPS: Readonly<Record<string, Step>> = {
   replace: (state) => enterPhase(state, 1, { phase: 'learning' }),
-  /** Mutant: acts on what it has heard from some ranks. */
+  /** Mutant: aborts before all ranks have answered the query. */
   learnSome: (state) => enterPhase(state, 1, { phase: 'aborting', version: FIRST_VERSION + 1 }),
   propose: (state, { i = 0 }, enabled) => {
     const { attempted, version } = state.coordinators[i] ?? { attempted: 0, version: 0 };
@@ -203,7 +204,7 @@
     return { ...state, ranks: sortRanks(state.ranks.map((known, j) => (j === i ? next : known))) };
   },
   reach: (state, { version = 0 }) => ({ ...state, reached: insertSorted(state.reached, version) }),
-  /** One step of the group: those whose step has come and who know go over to the new version. */
+  /** One step of the group: ranks that know of the commit switch to the new version once its step is reached. */
   step: (state) => {
     const ranks = state.ranks.map((rank) =>
       rank.a !== 0 && rank.c === rank.a && state.reached.includes(rank.a)
@@ -254,7 +255,7 @@
   return !hasWaitingRank || enabled['an armed rank waits rather than guesses'] === false;
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds and safeguards. */
 export function makeMapChangeSpec(
   bounds: MapChangeBounds,
   safeguards: readonly string[] = SAFEGUARDS,
--- a/spec/SpecRollout.ts
+++ b/spec/SpecRollout.ts
@@ -2,18 +2,18 @@
  * Specification of the rollout of a configuration in one AZ that may be cut off, with restarts of
  * its control process and of two processes attached to it.
  *
- * A configuration is its log index. The quorum accepts 1, 2, …; `hub` is the AZ's control process;
- * processes take deltas from it, or from another AZ's control process while the AZ is not cut off.
- * Any delta ever sent may arrive at any later time, as often as it likes.
+ * A configuration is represented by its log index. The quorum accepts 1, 2, …; the hub is the AZ's control
+ * process. Processes receive deltas from it, or from another AZ's control process while the AZ isn't cut off.
+ * Any delta that was sent may arrive at any later time, any number of times.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
 interface Process {
-  /** Index it acts on; 0 while it acts on nothing. */
+  /** Index of the configuration in force at it; 0 for none. */
   readonly applied: number;
-  /** Index that it remembers from before its restart. */
+  /** Index that was last in force, kept across a restart. */
   readonly remembered: number;
-  /** Whether it is attached to the AZ's control process, so that each can tell the other. */
+  /** Whether it is attached to the AZ's control process. */
   readonly attached: boolean;
 }
 
@@ -21,11 +21,12 @@
   /** Newest index accepted by the quorum. */
   readonly accepted: number;
   readonly cut: boolean;
-  /** The control process of the AZ: what its log holds, what it knows to be committed, on disk. */
+  /** Of the AZ's control process: newest index in its log, and newest index that it has served and synced to disk. */
   readonly log: number;
   readonly disk: number;
-  /** What it serves now; 0 while it has just started. */
+  /** Index that it serves; 0 after a restart. */
   readonly served: number;
+  /** Whether it has begun to serve since its start: after a check with the quorum, or while cut off. */
   readonly checked: boolean;
   readonly processes: readonly Process[];
   /** Deltas sent, `from>to`. */
@@ -55,7 +56,7 @@
   'act on nothing remembered',
 ] as const;
 
-/** Newest index in force at the processes attached. */
+/** Newest index in force at the attached processes. */
 function newestApplied(state: State): number {
   return Math.max(0, ...state.processes.map(({ applied, attached }) => (attached ? applied : 0)));
 }
@@ -67,7 +68,7 @@
   };
 }
 
-/** A process takes an index into force; it must never be older than its own. */
+/** Puts an index in force at a process, and records a violation if that is a step back. */
 function applyIndex(state: State, i: number, index: number): State {
   const { applied } = state.processes[i] ?? { applied: 0 };
   const others = newestApplied(state);
@@ -94,7 +95,7 @@
   accept: (state) => ({ ...state, accepted: state.accepted + 1 }),
   cut: (state) => ({ ...state, cut: true }),
   heal: (state) => ({ ...state, cut: false }),
-  /** The log reaches the hub, with word of what is committed. */
+  /** The log reaches the hub, together with the commit index. */
   replicate: (state, _event, enabled) => {
     const next = { ...state, log: state.accepted };
     return state.checked ? serveIndex(next, state.accepted, enabled) : next;
@@ -102,7 +103,7 @@
   /** A quorum confirms the hub's log. */
   check: (state, _event, enabled) =>
     serveIndex({ ...state, checked: true }, state.accepted, enabled),
-  /** Cut off from the quorum, it serves the newest of its disk and of those attached. */
+  /** While cut off from the quorum, the hub serves the newest index of its disk and of the attached processes. */
   serveCutOff: (state, _event, enabled) => {
     const learned =
       enabled['learn from those attached when cut off'] === false ? 0 : newestApplied(state);
@@ -121,7 +122,7 @@
     ...setProcess(state, i, { applied: 0, attached: false }),
     restarts: state.restarts + 1,
   }),
-  /** A process attaches, and tells what it holds; the hub learns it before it serves on. */
+  /** A process attaches and reports its index; a newer one is adopted by the hub before it serves on. */
   attach: (state, { i = 0 }, enabled) => {
     const next = setProcess(state, i, { attached: true });
     const { applied } = state.processes[i] ?? { applied: 0 };
@@ -130,7 +131,7 @@
       ? serveIndex(next, applied, enabled)
       : next;
   },
-  /** The hub sends a process what it lacks. */
+  /** The hub sends a delta. */
   send: (state, { delta = '' }) => ({
     ...state,
     sent: [...new Set([...state.sent, delta])].sort(),
@@ -151,7 +152,7 @@
     }
     return applyIndex(state, i, to);
   },
-  /** Attached to another AZ's control process, which is checked. */
+  /** Receives the newest index from another AZ's control process, which has checked with the quorum. */
   fromElsewhere: (state, { i = 0 }) =>
     applyIndex(setProcess(state, i, { attached: false }), i, state.accepted),
   actOnMemory: (state, { i = 0 }) => applyIndex(state, i, state.processes[i]?.remembered ?? 0),
@@ -161,7 +162,7 @@
   const { cut, checked, log, accepted, served } = state;
   const replicate = !cut && log < accepted ? [{ type: 'replicate' }] : [];
   const check = !cut && !checked && accepted > 0 ? [{ type: 'check' }] : [];
-  // Assumed: whoever lives attaches again within the time that the hub waits.
+  // Assumption: every running process attaches again while the hub still waits.
   const allAttached = state.processes.every(({ applied, attached }) => attached || applied === 0);
   const cutOff = cut && !checked && allAttached ? [{ type: 'serveCutOff' }] : [];
   const unchecked =
@@ -176,7 +177,7 @@
   return [...replicate, ...check, ...cutOff, ...unchecked, ...sends];
 }
 
-/** A new link carries nothing of the old one: a process that restarted gets what is sent since. */
+/** Deltas of an old link don't arrive on a new one, so a restarted process only gets the hub's current full delta. */
 function mayArrive(state: State, i: number, delta: string): boolean {
   const [from = 0, to = 0] = delta.split('>').map(Number);
   const { applied, attached } = state.processes[i] ?? { applied: 0, attached: false };
@@ -201,7 +202,7 @@
   return [...receives, ...attach, ...elsewhere, ...memory];
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds. */
 export function makeRolloutSpec(bounds: RolloutBounds): Spec<State, Event> {
   return {
     name: 'rollout with restarts in an AZ that is cut off',
--- a/spec/SpecTypes.ts
+++ b/spec/SpecTypes.ts
@@ -1,25 +1,25 @@
-/** What a specification is: a small state machine whose every state can be visited. */
+/** Types of a specification: a state machine small enough to visit every state. */
 
-/** Thing that can happen, with a label for traces. */
+/** An event; its type and fields are printed in traces. */
 export interface SpecEvent {
   readonly type: string;
 }
 
-/** Safeguards by name; a mutant leaves one out. */
+/** Whether each safeguard, by name, is enabled; a mutant disables one. */
 export type Safeguards = Readonly<Record<string, boolean>>;
 
-/** One specification. States are plain JSON values. */
+/** A specification. States are plain JSON values. */
 export interface Spec<S, E extends SpecEvent> {
   readonly name: string;
-  /** Bounds of the exploration, as told in the report. */
+  /** Bounds of the exploration, as printed. */
   readonly bounds: string;
-  /** What the specification's safeguards are; each has a mutant without it. */
+  /** Names of the safeguards; each has a mutant without it. */
   readonly safeguards: readonly string[];
   readonly init: S;
-  /** All that may happen next. */
+  /** Events that may happen next. */
   readonly events: (state: S, enabled: Safeguards) => readonly E[];
-  /** What it leads to. Only called with events that `events` gave. */
+  /** State after an event; only called with events that `events` returned. */
   readonly step: (state: S, event: E, enabled: Safeguards) => S;
-  /** Names of the invariants that a state breaks. */
+  /** Names of the invariants that a state violates. */
   readonly violations: (state: S) => readonly string[];
 }
--- a/spec/SpecVoters.ts
+++ b/spec/SpecVoters.ts
@@ -1,6 +1,6 @@
 /**
- * Specification of who votes: hosts are replaced or lose their disks, some are silent for a while, leaders
- * change. The choice is the program's own (`nextVoterChange`); the log below it is taken as given.
+ * Specification of the choice of voters: hosts are replaced or lose their disks, some are unreachable for a
+ * while, leaders change. It runs the production code for the choice (`nextVoterChange`); the log is assumed correct.
  */
 import {
   nextVoterChange,
@@ -10,21 +10,21 @@
 } from '../src/coordination/index.js';
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
-/** A replica; its id is its host's name and a count of the host's disks. */
+/** A replica; its id is `host.n`, where n counts the host's disks. */
 interface Replica {
   readonly id: string;
-  /** `gone`: its disk is lost for good. `silent`: out of reach, with its disk. */
+  /** `gone`: its disk is lost permanently. `silent`: unreachable, with its disk intact. */
   readonly status: 'sound' | 'silent' | 'gone';
-  /** Whether the leader counts it as silent. */
+  /** Whether the leader treats it as unreachable. */
   readonly suspected: boolean;
-  /** Whether its disk holds all that was accepted. */
+  /** Whether its disk holds all accepted entries. */
   readonly isUpToDate: boolean;
 }
 
 interface State {
   readonly replicas: readonly Replica[];
   readonly members: ConsensusMembers;
-  /** Disks lost that still count: no other may be lost beyond what is borne. */
+  /** Lost disks that aren't made up for yet; at most `borne` of them at a time are tolerated. */
   readonly unrepaired: number;
   readonly losses: number;
   readonly silences: number;
@@ -41,7 +41,7 @@
   readonly borne: number;
   readonly losses: number;
   readonly silences: number;
-  /** Only founders are hit, disks from the first on and silence from the last on: they are all alike. */
+  /** Only initial replicas fail, disks from the first on and silence from the last on; they are interchangeable. */
   readonly inOrder: boolean;
 }
 
@@ -51,7 +51,7 @@
 const PROMOTE_FIRST = 'newcomers are promoted before any voter is dropped';
 const KEEP_ENOUGH_VOTERS = 'as many voters stay as the disks that may be lost ask for';
 
-/** Names of the safeguards, for the mutants that the bounds can kill. */
+/** Names of the safeguards; each specification lists those whose mutants fail within its bounds. */
 export const VOTERS_SAFEGUARDS = {
   SILENCE_OUTLIVES_ELECTION,
   DROP_SILENT,
@@ -60,7 +60,7 @@
   KEEP_ENOUGH_VOTERS,
 };
 
-/** When the leader looks, ms; a replica heard at 0 has been silent for long enough. */
+/** Current time, ms; a replica last heard from at 0 counts as unreachable. */
 const NOW = 10_000;
 
 function findReplica(state: State, id: string): Replica | undefined {
@@ -87,7 +87,7 @@
 
 const isSound = ({ status }: Replica): boolean => status === 'sound';
 
-/** A voter that can lead: it holds all that was accepted, and a majority answers it. */
+/** A voter that can lead: it holds all accepted entries, and a majority is reachable. */
 function leaderOf(state: State): Replica | undefined {
   return hasQuorum(state, isSound)
     ? state.replicas.find(
@@ -97,7 +97,7 @@
     : undefined;
 }
 
-/** Makes room for a newcomer by dropping a silent voter, if there is one. */
+/** The change that drops an unreachable voter to make room for a new one; null if there is none. */
 function makeRoom(state: State): VoterChange | null {
   const { voters, learners } = state.members;
   const replica = voters.find((id) => findReplica(state, id)?.suspected === true);
@@ -110,7 +110,7 @@
       };
 }
 
-/** What the leader would change next, by the program's own rule. */
+/** The leader's next change by the production rule, altered where a safeguard is disabled. */
 function nextChange(state: State, bounds: VotersBounds, enabled: Safeguards): VoterChange | null {
   const leader = leaderOf(state);
   if (leader === undefined) {
@@ -141,18 +141,18 @@
   return isDisabled ? null : found;
 }
 
-/** Whether a change would be committed: a majority of the new voters is there. */
+/** Whether a change can be committed: a majority of the new voters is reachable. */
 function canCommit(state: State, { members }: VoterChange): boolean {
   return hasQuorum({ ...state, members }, isSound);
 }
 
-/** The next identity of a host, or of the one that takes its place at another address. */
+/** Ids of a replica on a new disk: on the same host, or on a host that replaces it at another address. */
 function freshIds({ id }: Replica): readonly string[] {
   const [name = '', disk = ''] = id.split('.');
   return [`${name}.${Number(disk) + 1}`, `${name}'.0`];
 }
 
-/** Whether all hosts are back and nothing is left to do about the disks that were lost. */
+/** Whether all hosts are reachable and no repair of lost disks is pending. */
 function isRepaired(state: State, bounds: VotersBounds, enabled: Safeguards): boolean {
   const hasPending = state.replicas.some(
     ({ id, status, suspected, isUpToDate }) =>
@@ -168,7 +168,7 @@
   );
 }
 
-/** Drops what no longer matters, so that alike states are one. */
+/** Removes lost replicas that are no longer members, so that equivalent states are equal. */
 function dropUnusedReplicas(state: State): State {
   const { voters, learners } = state.members;
   const named = (id: string): boolean => voters.includes(id) || learners.includes(id);
@@ -206,7 +206,7 @@
     return { ...state, members: { voters, learners: [...learners, id] } };
   },
   catchUp: (state, { id = '' }) => setReplica(state, id, { isUpToDate: true }),
-  // The least that may be waited for: the members of a quorum hold it, the others don't yet.
+  // The minimum for acceptance: only a quorum of voters holds the entry, the others don't yet.
   accept: (state) => {
     const least = Math.floor(state.members.voters.length / 2) + 1;
     const sound = state.members.voters.filter((id) => findReplica(state, id)?.status === 'sound');
@@ -230,7 +230,7 @@
   return `${NAMES[at] ?? ''}.0`;
 }
 
-/** Whether a replica may be hit next: its disk, or by silence. */
+/** Whether a replica may be the next to lose its disk, and the next to become silent. */
 function isNextHit(state: State, { id }: Replica, bounds: VotersBounds): [boolean, boolean] {
   return bounds.inOrder
     ? [id === founderId(state.losses), id === founderId(bounds.hosts - 1 - state.silences)]
@@ -280,7 +280,7 @@
   ];
 }
 
-/** Makes the specification within bounds, with the safeguards whose absence these bounds show. */
+/** Makes the specification for the given bounds, with the safeguards whose mutants fail within them. */
 export function makeVotersSpec(
   bounds: VotersBounds,
   safeguards: readonly string[],
