--- a/tools/ManifestSchema.ts
+++ b/tools/ManifestSchema.ts
@@ -1,4 +1,4 @@
-/** Writes the manifest's JSON Schema from its validator, or checks that it is up to date. */
+/** Writes the manifest's JSON Schema from its zod schema; with `--check` checks that the file is up to date. */
 import { readFile, writeFile } from 'node:fs/promises';
 import * as z from 'zod';
 import { manifestSchema } from '../src/protocol/index.js';
--- a/tools/Quickstart.ts
+++ b/tools/Quickstart.ts
@@ -1,4 +1,4 @@
-/** `npm run quickstart`: the whole system on loopback, 200 requests, and every answer checked. */
+/** `npm run quickstart`: starts the whole system on loopback, sends 200 requests and checks every answer. */
 import { spawn } from 'node:child_process';
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
--- a/tools/QuickstartCluster.ts
+++ b/tools/QuickstartCluster.ts
@@ -1,4 +1,4 @@
-/** A whole system on loopback: three AZs with their control, entry and endpoint processes. */
+/** A whole system on loopback: availability zones with their control, entry and endpoint processes. */
 import { mkdir, rm } from 'node:fs/promises';
 import path from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -6,14 +6,14 @@
 import { request } from 'undici';
 import { allocateAddresses, QuickstartProcesses } from './QuickstartProcess.js';
 
-/** The built programs, whether this runs from source or from `dist` itself. */
+/** Folder of the built programs, whether this file runs from source or from `dist`. */
 const DIST = fileURLToPath(
   new URL(import.meta.url.includes('/dist/') ? '..' : '../dist', import.meta.url),
 );
 const DAEMON = path.join(DIST, 'src/daemon/DaemonMain.js');
 const FAKE = path.join(DIST, 'fakes/FakeMain.js');
 
-/** One engine or plain service with its endpoint process. */
+/** An engine or plain service with its endpoint process. */
 export interface EndpointSpec {
   readonly id: string;
   readonly zone: string;
@@ -23,27 +23,27 @@
   readonly ranks?: string;
 }
 
-/** What to start. */
+/** Processes to start, and their settings. */
 export interface ClusterSpec {
   readonly folder: string;
   readonly fleet: string;
   readonly zones: readonly string[];
   readonly entriesPerZone: number;
   readonly endpoints: readonly EndpointSpec[];
-  /** Slots, prefill in ms and ms between tokens of the stand-ins. */
+  /** Of each stand-in engine: slots, prefill time in ms, and ms between tokens. */
   readonly engine: readonly [number, number, number];
   readonly logLevel: string;
   readonly extraControlArgs?: readonly string[];
 }
 
-/** Addresses of what runs, `ip:port` by name. */
+/** Addresses of the running processes, `ip:port`; engines by endpoint id. */
 export interface ClusterAddresses {
   readonly controls: readonly string[];
   readonly entries: readonly string[];
   readonly engines: Readonly<Record<string, string>>;
 }
 
-/** Whether a process says that it is ready. */
+/** Whether a process reports that it is ready. */
 export async function isReady(address: string): Promise<boolean> {
   try {
     const { statusCode, body } = await request(`http://${address}/readyz`);
@@ -54,7 +54,7 @@
   }
 }
 
-/** Waits until a check holds. @throws if it doesn't in time. */
+/** Polls until a check holds. @throws if it doesn't within `limitMs`. */
 export async function waitUntil(
   what: string,
   limitMs: number,
@@ -66,7 +66,7 @@
       return;
     }
     if (performance.now() > until) {
-      throw new Error(`not in time: ${what}`);
+      throw new Error(`timed out waiting for: ${what}`);
     }
     await delay(50);
     await poll();
@@ -74,7 +74,7 @@
   await poll();
 }
 
-/** Waits until processes say that they are ready. */
+/** Waits until all processes report that they are ready. */
 export async function waitReady(addresses: readonly string[], limitMs = 20_000): Promise<void> {
   await Promise.all(
     addresses.map(async (address) =>
@@ -83,7 +83,7 @@
   );
 }
 
-/** The running system. */
+/** Starts and restarts the processes of a cluster. */
 export class QuickstartCluster {
   readonly #spec: ClusterSpec;
 
@@ -139,12 +139,12 @@
     await waitReady(controls);
   }
 
-  /** Starts a process again as it was first started, with further flags. */
+  /** Starts a process again with its original arguments and further flags. */
   restart(name: string, flags: readonly string[] = []): void {
     this.#processes.start(name, DAEMON, [...(this.#arguments.get(name) ?? []), ...flags]);
   }
 
-  /** Starts the stand-in behind an endpoint again. */
+  /** Starts the stand-in behind an endpoint, again if it has run before. */
   restartFake(id: string): void {
     const name = `fake-${id}`;
     this.#processes.start(name, FAKE, this.#arguments.get(name) ?? []);
--- a/tools/QuickstartLoad.ts
+++ b/tools/QuickstartLoad.ts
@@ -1,20 +1,20 @@
-/** The quickstart's callers: requests of all kinds, with every answer checked byte for byte. */
+/** Callers of the quickstart: requests of all kinds, with each answer compared byte for byte. */
 import { request } from 'undici';
 import { expectedAnswer } from '../fakes/FakeEngine.js';
 import { expectedReply } from '../fakes/FakeService.js';
 
-/** One request and what its caller must receive. */
+/** A request and the answer that its caller must receive. */
 export interface LoadCase {
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
   readonly expected: string;
-  /** Under which the stand-ins count how often it was run. */
+  /** Key under which the stand-ins count how often the request was run. */
   readonly marker: string;
   readonly repeatable: boolean;
 }
 
-/** What came of a request. */
+/** Outcome of a request. */
 export interface LoadResult {
   readonly verdict: 'whole' | 'wrong' | 'lost';
   readonly status: number;
@@ -56,7 +56,7 @@
   (i) => plainCase(i, '/reorder', false),
 ];
 
-/** The i-th request: each kind in turn, each customer in turn. */
+/** The i-th request; kinds and customers alternate. */
 export function makeCase(i: number): LoadCase {
   const kind = CASE_KINDS[Math.floor(i / 2) % CASE_KINDS.length] ?? CASE_KINDS[0];
   const loadCase = kind?.(i) ?? completionCase(i, '/v1/completions', true);
@@ -85,7 +85,7 @@
   }
 }
 
-/** Runs requests `0..count` with a fixed number at a time. */
+/** Sends requests 0 to `count` - 1, `concurrency` at a time. */
 export async function runLoad(
   addresses: readonly string[],
   count: number,
@@ -105,7 +105,7 @@
   await Promise.all(Array.from({ length: concurrency }, worker));
 }
 
-/** How often each marker was run, over all stand-ins. */
+/** Number of runs of each marker, summed over all stand-ins. */
 export async function countRuns(engines: readonly string[]): Promise<ReadonlyMap<string, number>> {
   const all = await Promise.all(
     engines.map(async (address) => {
--- a/tools/QuickstartProcess.ts
+++ b/tools/QuickstartProcess.ts
@@ -1,11 +1,11 @@
-/** Child processes of the quickstart: started by it, and stopped by it, by id. */
+/** Starts and stops the child processes of the quickstart. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream } from 'node:fs';
 import { readFile } from 'node:fs/promises';
 import { createServer } from 'node:net';
 import path from 'node:path';
 
-/** Port that is free now. */
+/** A port that is free at the moment. */
 export async function freePort(): Promise<number> {
   return new Promise((resolve, reject) => {
     const server = createServer();
@@ -17,7 +17,7 @@
   });
 }
 
-/** Free ports, all different. */
+/** Different ports that are free at the moment. */
 export async function freePorts(count: number): Promise<readonly number[]> {
   const ports = new Set<number>();
   while (ports.size < count) {
@@ -27,17 +27,17 @@
   return [...ports];
 }
 
-/** Port of all addresses that are given out: below those that the kernel gives to outgoing connections. */
+/** Port of all allocated addresses, below the range that the kernel uses for outgoing connections. */
 const LISTEN_PORT = 7_400;
 
-/** Addresses that one process gives out before it begins anew. */
+/** Number of addresses that a process allocates before it reuses the first. */
 const MAX_ADDRESSES = 250;
 
 let lastAllocated = 0;
 
 /**
- * Addresses on loopback that nobody else uses, `ip:port`. A free port could be taken by an outgoing connection before
- * the process that it is meant for listens there.
+ * Allocates loopback addresses, `ip:port`, in a network derived from this process's id. A port that is merely free
+ * could be taken by an outgoing connection before the process that it is meant for listens on it.
  */
 export function allocateAddresses(count: number): readonly string[] {
   const net = process.pid % 2 ** 14;
@@ -48,7 +48,7 @@
   });
 }
 
-/** Processes that belong together and end together. */
+/** A set of child processes that are stopped together. */
 export class QuickstartProcesses {
   readonly #folder: string;
 
@@ -58,7 +58,7 @@
     this.#folder = folder;
   }
 
-  /** Starts a node program; its output goes to a log file by name. */
+  /** Starts a Node.js program; its output is appended to `NAME.log`. */
   start(name: string, program: string, args: readonly string[]): ChildProcess {
     const log = createWriteStream(path.join(this.#folder, `${name}.log`), { flags: 'a' });
     const child = spawn(process.execPath, [program, ...args], {
@@ -82,7 +82,7 @@
     return [...this.#children.keys()];
   }
 
-  /** The last lines that each process has written. */
+  /** The last lines of each process's log. */
   async readLogs(lines: number): Promise<string> {
     const texts = await Promise.all(
       this.names.map(async (name) => {
@@ -94,7 +94,7 @@
     return texts.join('\n');
   }
 
-  /** Sends a signal; resolves with the exit code once the process has ended. */
+  /** Sends a signal; resolves with the exit code once the process has exited. */
   async stop(name: string, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
     const child = this.get(name);
     if (child.exitCode !== null || child.signalCode !== null) {
@@ -107,7 +107,7 @@
     return exited;
   }
 
-  /** Stops all: politely, and after some time for good. */
+  /** Stops all with SIGTERM, and with SIGKILL those that still run after `graceMs`. */
   async stopAll(graceMs: number): Promise<void> {
     const timer = setTimeout(() => {
       this.#children.forEach((child) => child.kill('SIGKILL'));
--- a/tools/UnitMain.ts
+++ b/tools/UnitMain.ts
@@ -1,4 +1,4 @@
-/** Runs the tests given as arguments; those in KNOWN-RED.txt are reported and passed over. */
+/** Runs the test files given as arguments; failures listed in KNOWN-RED.txt are reported but don't fail the run. */
 import { spawn } from 'node:child_process';
 import { readFile } from 'node:fs/promises';
 import {
@@ -10,7 +10,7 @@
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 
-/** A test that takes longer has hung, ms. */
+/** A test that takes longer counts as hung, ms. */
 const TEST_TIMEOUT_MS = 120_000;
 
 async function readKnownFailures(): Promise<readonly KnownFailure[]> {
@@ -24,7 +24,7 @@
   }
 }
 
-/** Runs the files, passes the output on, and gives it back with the exit code. */
+/** Runs the test files; forwards their output, and returns it with the exit code. */
 async function runTests(files: readonly string[]): Promise<{ tap: string; code: number }> {
   const args = ['--import', 'tsx', '--test', `--test-timeout=${TEST_TIMEOUT_MS}`, ...files];
   const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'inherit'] });
@@ -44,6 +44,6 @@
 const results = parseResults(tap);
 const verdict = evaluateResults(results, known);
 verdict.lines.forEach((line) => process.stderr.write(`${line}\n`));
-// A runner that failed without a failed test, as on a file that can't be loaded, has failed.
+// The runner can fail without a failed test, for example on a file that can't be loaded.
 const unexplained = code !== 0 && results.failed.size === 0;
 process.exitCode = verdict.ok && !unexplained && results.seen.size > 0 ? 0 : 1;
--- a/tools/UnitResults.ts
+++ b/tools/UnitResults.ts
@@ -1,21 +1,21 @@
-/** Results of a test run in TAP, set against the tests that are known to fail. */
+/** Parses the TAP output of a test run and compares it with the list of known failures. */
 
-/** A test that is known to fail, as KNOWN-RED.txt lists it: `name | cause | issue`. */
+/** A test that is known to fail; a line of KNOWN-RED.txt is `name | cause | issue`. */
 export interface KnownFailure {
   readonly name: string;
   readonly cause: string;
   readonly issue: string;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface UnitResults {
   /** Names of all tests and suites. */
   readonly seen: ReadonlySet<string>;
-  /** Names of tests that failed by themselves, not by what they contain. */
+  /** Names of tests that failed themselves, without suites that failed only because of a test in them. */
   readonly failed: ReadonlySet<string>;
 }
 
-/** What to say of a run, and whether it counts as passed. */
+/** Whether a run counts as passed, and the lines to print. */
 export interface UnitVerdict {
   readonly ok: boolean;
   readonly lines: readonly string[];
@@ -23,10 +23,10 @@
 
 const RESULT = /^\s*(not )?ok \d+ - (.*?)(?: # .*)?$/;
 
-/** A suite that failed because of its tests says so in the block behind its line. */
+/** Marks a suite that failed only because of its tests, in the YAML block after its result line. */
 const SUBTESTS_FAILED = "failureType: 'subtestsFailed'";
 
-/** Reads KNOWN-RED.txt; empty lines are left out. */
+/** Parses the text of KNOWN-RED.txt; empty lines are ignored. */
 export function parseKnownFailures(text: string): readonly KnownFailure[] {
   return text
     .split('\n')
@@ -37,7 +37,7 @@
     });
 }
 
-/** Reads the output of node's test runner. */
+/** Parses the TAP output of the Node.js test runner. */
 export function parseResults(tap: string): UnitResults {
   const seen = new Set<string>();
   const failed = new Set<string>();
@@ -58,7 +58,7 @@
   return { seen, failed };
 }
 
-/** Judges a run: only known tests may fail, and each known name must be that of a test. */
+/** Evaluates a run: only known tests may fail, and each known name must be that of a test. */
 export function evaluateResults(results: UnitResults, known: readonly KnownFailure[]): UnitVerdict {
   const names = new Set(known.map(({ name }) => name));
   const reports = known.map(({ name, cause, issue }) => {
--- a/tools/__tests__/unit/BundlePlatform.test.ts
+++ b/tools/__tests__/unit/BundlePlatform.test.ts
@@ -12,10 +12,10 @@
     await run('npm', ['run', '--silent', 'build:platform']);
   });
 
-  // Libraries of both module formats end up in one file. Where that breaks, the program can't even be
-  // loaded, and every host of the platform is down: it must come as far as missing settings.
+  // CommonJS and ES module libraries are bundled into one file. If that breaks, the program can't be loaded on
+  // any host of the platform. Each program must start far enough to report its missing settings.
   ROLES.forEach((role) => {
-    it(`load, and say what their settings lack: ${role}`, async () => {
+    it(`load, and report missing settings: ${role}`, async () => {
       const failed = await run(process.execPath, [`target/bundle/Platform${role}.js`], {
         env: { PATH: process.env.PATH },
       }).catch((err: unknown) => err as { code: number; stderr: string });
@@ -25,9 +25,9 @@
     });
   });
 
-  // Hundreds of hosts beside engines run the endpoint's program in little memory. An import in the wrong place
-  // brings it the libraries of other roles, several megabytes each in every process.
-  it('hold no libraries of other roles', async () => {
+  // Hundreds of hosts with engines run the endpoint's program in little memory. A misplaced import would bundle
+  // the libraries of other roles into it, several megabytes each in every process.
+  it('contain no libraries of other roles', async () => {
     const { stdout } = await run('grep', ['-l', 'iconv-lite\\|koa-compose', '-r', 'target/bundle']);
     assert.deepEqual(stdout.trim().split('\n').sort(), [
       'target/bundle/PlatformControl.js',
--- a/tools/__tests__/unit/ControlFailure.test.ts
+++ b/tools/__tests__/unit/ControlFailure.test.ts
@@ -1,4 +1,4 @@
-/** Failures of control processes, with real processes over loopback. One system, one test after another. */
+/** Failures of control processes, with real processes over loopback. The tests share one system and run in order. */
 import assert from 'node:assert/strict';
 import { mkdtemp, rm } from 'node:fs/promises';
 import os from 'node:os';
@@ -13,7 +13,7 @@
 const ZONES = ['ikeja', 'apapa', 'lekki'] as const;
 const CONTROLS = ZONES.map((zone) => QuickstartCluster.controlName(zone));
 
-/** Lines of each process's log that a failure shows. */
+/** Number of lines of each process's log that a failure message includes. */
 const LOG_LINES = 40;
 
 interface ControlRow {
@@ -56,7 +56,7 @@
     return (await response.body.json()) as Status;
   };
 
-  /** Who is attached where, by each control process's own account, for the message of a failure. */
+  /** Processes attached to each control process, as it reports them, for a failure message. */
   const describeAttachments = async (): Promise<string> => {
     const rows = await Promise.all(
       CONTROLS.map(async (name) => (await status(name)).controls.find((row) => row.name === name)),
@@ -66,7 +66,7 @@
       .join('; ');
   };
 
-  /** Runs a step; a failure tells what each process wrote last, and who was attached where. */
+  /** Runs a step; adds the end of each process's log and the attachments to the message of a failure. */
   const withLogs = async (step: () => Promise<void>): Promise<void> => {
     try {
       await step();
@@ -82,7 +82,7 @@
     return response.body.json();
   };
 
-  /** Submits until the outcome is known. */
+  /** Submits a manifest again and again until the outcome is known. */
   const submit = async (name: string, text: string): Promise<SubmitReply> => {
     let reply: SubmitReply = { result: 'unavailable', reason: '' };
     await waitUntil('the outcome of a submission', 15_000, async () => {
@@ -112,7 +112,7 @@
       return count === live && live === ZONES.length * 2;
     });
 
-  /** Sends a call through the entry process of a zone; its answer must be whole. */
+  /** Sends a request through the entry process of a zone; its answer must be complete. */
   const call = async (zone: number): Promise<void> => {
     const response = await request(`http://${cluster.addresses.entries[zone] ?? ''}/lookup/x`, {
       method: 'POST',
@@ -154,10 +154,10 @@
     await rm(folder, { recursive: true });
   });
 
-  // The leader is killed while a submission is under way, and the pipeline never hears back. It
-  // sends the same file to another control process: the outcome is one acceptance, whoever decided
-  // it; other content under that version is a conflict for good, also at the old leader.
-  it('gives a resend one outcome when the leader is killed in the middle', async () =>
+  // The leader is killed during a submission, and the submitter gets no reply. It resends the same manifest to
+  // another control process: the version must be accepted exactly once, whichever process decided it. Other
+  // content under that version must be a conflict from then on, and the old leader must give the same reply.
+  it('gives a resent submission one outcome when the leader is killed', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const other = CONTROLS.find((name) => name !== leader) ?? '';
@@ -175,10 +175,10 @@
       await waitInForce(other);
     }));
 
-  // The leader is frozen for longer than an election takes; others accept a change meanwhile. It
-  // wakes and believes that it leads. What a racing pipeline submits to it must meet the acceptance
-  // it slept through, and nobody may get the older configuration back.
-  it('refuses what a leader that slept would accept', async () =>
+  // The leader is frozen for longer than an election takes, and the others accept a change meanwhile. It resumes
+  // in the belief that it leads. A conflicting manifest submitted to it must meet the acceptance that it missed,
+  // and no process may go back to an older configuration.
+  it('refuses a submission at a frozen leader that conflicts with a newer acceptance', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const others = CONTROLS.filter((name) => name !== leader);
@@ -196,10 +196,10 @@
       await waitInForce(leader);
     }));
 
-  // A host loses its disk and is repaired with an empty one; right after it is back, a second host
-  // dies. The repaired one must hold the whole log by then, under a new identity, and with the
-  // third be the quorum that accepts the next change.
-  it('goes on when a second host fails right after a first was repaired', async () =>
+  // A host loses its disk and returns with an empty one; as soon as it votes, a second host crashes. The repaired
+  // host must hold the whole log by then, under a new identity, and form the quorum with the third host that
+  // accepts the next change.
+  it('continues when a second host fails right after the first was repaired', async () =>
     withLogs(async () => {
       const [lost = '', second = '', third = ''] = CONTROLS;
       const old = (await status(third)).controls.find(({ name }) => name === lost)?.replica ?? '';
@@ -220,10 +220,10 @@
       await waitInForce(third);
     }));
 
-  // An AZ is cut off. The others accept a change; the cut-off AZ goes on serving on what it has.
-  // Its control process and its entry process both restart inside the cut: neither may come back
-  // with an older configuration, and the AZ must serve again. Healed, it takes the change.
-  it('serves on in a cut-off AZ, through two restarts, and never goes back', async () =>
+  // An AZ is cut off. The others accept a change, and the AZ continues to serve with its own configuration. Its
+  // control process and its entry process both restart while it is cut off: neither may return with an older
+  // configuration, and the AZ must serve again. Once the network is restored, it receives the change.
+  it('serves in a cut-off AZ through two restarts without an older configuration', async () =>
     withLogs(async () => {
       const cutOff = CONTROLS[2] ?? '';
       const others = CONTROLS.slice(0, 2);
@@ -257,9 +257,9 @@
       await waitInForce(others[0] ?? '', 30_000);
     }));
 
-  // Three hundred changes go by, then every process is killed and started again, as after a power
-  // cut. All must come back with the newest, and a resend of an early version gets its first answer.
-  it('comes back with the newest after 300 changes and a restart of all', async () =>
+  // After 300 changes every process is killed and restarted, as after a power cut. All must return with the newest
+  // configuration, and a resend of an early version must get its original reply.
+  it('restores the newest configuration after 300 changes and a restart of all processes', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const first = await submit(leader, manifest(version + 1));
--- a/tools/__tests__/unit/DataPathFailure.test.ts
+++ b/tools/__tests__/unit/DataPathFailure.test.ts
@@ -1,4 +1,4 @@
-/** Failures on the way of a request, with real processes over loopback. One system for all tests. */
+/** Failures on the path of a request, with real processes over loopback. The tests share one system. */
 import assert from 'node:assert/strict';
 import { mkdtemp, rm } from 'node:fs/promises';
 import os from 'node:os';
@@ -52,7 +52,7 @@
     return { status: response.statusCode, text };
   };
 
-  /** Engine that runs a request, by the stand-ins' journals. */
+  /** Endpoint whose engine runs a request, by the run counts of the stand-ins. */
   const findEngine = async (user: string): Promise<string> => {
     let found = '';
     await waitUntil(`${user} runs`, 5_000, async () => {
@@ -70,7 +70,7 @@
 
   const errorOf = ({ text }: Answer): ErrorBody['error'] => (JSON.parse(text) as ErrorBody).error;
 
-  /** Waits until both endpoints take work again. */
+  /** Waits until both endpoints accept requests again. */
   const waitBothServing = async (): Promise<void> => {
     const control = cluster.addresses.controls[0] ?? '';
     await waitUntil('two endpoints serve', 15_000, async () => {
@@ -79,7 +79,7 @@
         endpoints: readonly { readonly status: string; readonly address: string }[];
       };
       const serving = endpoints.filter(({ status }) => status === 'serving');
-      // A gate that was killed is listed until its lease ends: ask each itself.
+      // A gate that was killed is listed until its lease expires, so each is asked for its readiness.
       const ready = await Promise.all(serving.map(async ({ address }) => isReady(address)));
       return ready.length === 2 && ready.every(Boolean);
     });
@@ -117,9 +117,9 @@
     await rm(folder, { recursive: true });
   });
 
-  // A gate is killed while it runs a call whose answer is sent whole. The call may be repeated, so
-  // it runs again at the other endpoint, and the caller sees one whole answer and nothing else.
-  it('runs a call that may be repeated elsewhere when its gate is killed', async () => {
+  // A gate is killed while it runs a request that isn't streamed. The request is repeatable, so it runs again at
+  // the other endpoint, and the caller receives one complete answer and nothing else.
+  it('runs a repeatable request at another endpoint when its gate is killed', async () => {
     const spec = body('repeat', false, 40);
     const answer = send(spec);
     const engine = await findEngine('repeat');
@@ -129,9 +129,9 @@
     await waitBothServing();
   });
 
-  // As above, for a call that may not be repeated. It had been started and nobody can tell how far
-  // it got: the caller is told `unknown` at once, long before the deadline, and it ran once.
-  it('says unknown at once for a call that may not be repeated', async () => {
+  // As above, for a request that isn't repeatable. It was started and its progress is unknown: the caller gets the
+  // outcome `unknown` at once, long before the deadline, and the request has run once.
+  it('answers with the outcome unknown at once for a request that is not repeatable', async () => {
     const spec = body('once', false, 40);
     const answer = send(spec, { 'x-repeatable': 'false' });
     const engine = await findEngine('once');
@@ -144,9 +144,9 @@
     await waitBothServing();
   });
 
-  // An engine dies in the middle of a stream; its gate lives. What was sent can't be taken back, so
-  // the stream must end with an error event, and must not end like a whole one.
-  it('never lets a stream that broke off look whole', async () => {
+  // An engine crashes in the middle of a stream while its gate keeps running. Events that were sent can't be taken
+  // back, so the stream must end with an error event, and not like a complete one.
+  it('ends an interrupted stream with an error event', async () => {
     const spec = body('stream', true, 60);
     const answer = send(spec);
     const engine = await findEngine('stream');
@@ -166,10 +166,10 @@
     );
   });
 
-  // An endpoint is told to stop while a stream runs that is longer than the linger and several lease
-  // times' worth of beats. New calls go elsewhere at once; the stream is delivered to its end, and
-  // only then does the process end, with exit code 0.
-  it('cuts nothing off when an endpoint leaves, and gives it no new work', async () => {
+  // An endpoint is asked to stop while a stream runs that lasts longer than the linger time and several lease
+  // periods. New requests go elsewhere at once; the stream is delivered to its end, and only then does the process
+  // exit, with code 0.
+  it('completes a stream at a leaving endpoint, and sends it no new requests', async () => {
     const spec = body('long', true, 300);
     const answer = send(spec);
     const leaving = await findEngine('long');
@@ -189,8 +189,8 @@
     await waitBothServing();
   });
 
-  // A gate is frozen with a call before it: neither an answer nor an end of the connection comes.
-  // At the deadline the caller gets its final answer at once, which says that it may have been run.
+  // A gate is frozen while it runs a request: neither an answer nor the end of the connection arrives. At the
+  // deadline the caller must get its final answer, which says that the request may have been run.
   it('answers at the deadline when a gate is frozen', async () => {
     const spec = body('frozen', false, 100);
     const answer = send(spec, { 'x-deadline-ms': '1200', 'x-repeatable': 'false' });
@@ -201,23 +201,23 @@
     assert.deepEqual([sent.status, errorOf(sent).outcome], [504, 'unknown']);
   });
 
-  // A caller's request ends each engine that begins to run it, and is tried again at once where it may be. The gates
-  // live on and see their engines end. After the third it must be sent to none, and another of the same customer be
-  // served as before.
-  it('sends a request that ended three engines to none any more', async () => {
+  // A request crashes each engine that begins to run it, and is retried at once where that is allowed. The gates keep
+  // running and observe the crashes. After the third crash the request must be sent to no engine, and another one of
+  // the same customer must be served as before.
+  it('quarantines a request that has crashed three engines', async () => {
     const fatal = { ...body('fatal', false, 4), fatal: true };
     const names = ['fake-engine-1', 'fake-engine-2'];
-    /** Starts those again that have ended; how many. */
+    /** Restarts the stand-ins that have exited; returns their number. */
     const restartCrashed = (): number => {
       const crashed = names.filter((name) => cluster.processes.get(name).exitCode !== null);
       crashed.forEach((name) => cluster.restartFake(name.replace('fake-', '')));
       return crashed.length;
     };
-    /** Waits until both listen again; how many had ended. */
+    /** Waits until both stand-ins listen again; returns how many had exited. */
     const waitAllListening = async (): Promise<number> => {
       let count = 0;
       await waitUntil('the stand-ins listen', 10_000, async () => {
-        // The end of a process is told a moment after its connections have ended.
+        // The exit of a process is reported a moment after its connections have closed.
         count += restartCrashed();
         return countRuns(Object.values(cluster.addresses.engines)).then(
           () => true,
--- a/tools/__tests__/unit/UnitResults.test.ts
+++ b/tools/__tests__/unit/UnitResults.test.ts
@@ -30,7 +30,7 @@
     assert.deepEqual(verdict, { ok: false, lines: ['failed: breaks'] });
   });
 
-  it('passes over just the tests that are known, and says what they did', () => {
+  it('tolerates failures of known tests only, and reports their results', () => {
     const verdict = evaluateResults(parseResults(TAP), KNOWN);
     assert.equal(verdict.ok, true);
     assert.deepEqual(verdict.lines, [
@@ -40,8 +40,8 @@
     assert.match(passed.lines[0] ?? '', /passed this time/);
   });
 
-  // A test is renamed or deleted while its name stays in the list: nothing is left that would show when
-  // the fault comes back, so the list itself fails the run.
+  // When a test is renamed or deleted while its name stays in the list, nothing would detect that the fault
+  // comes back, so a stale name fails the run.
   it('fails on a known name that no test has', () => {
     const verdict = evaluateResults(
       parseResults(TAP),
