--- a/bench/BenchControlCost.ts
+++ b/bench/BenchControlCost.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs, as slopes: a real control process with so many processes attached (links from
- * the bench), and real entry and endpoint processes with so many members and customers known.
+ * Cost of the control plane as slopes over size: a real control process with a number of attached processes
+ * (links of the bench), and real entry and endpoint processes that know a number of members and customers.
  */
 import { mkdir } from 'node:fs/promises';
 import { QuickstartProcesses } from '../tools/QuickstartProcess.js';
@@ -11,7 +11,7 @@
 import { benchRoute, benchSubset } from './BenchControlPure.js';
 import { fitLine, runSequentially, report } from './BenchReport.js';
 
-/** Members and customers that an entry process knows. */
+/** Numbers of members and customers that an entry process knows. */
 const ENTRY_SIZES: readonly (readonly [number, number])[] = [
   [10, 10],
   [10, 2_000],
@@ -31,7 +31,7 @@
   report('control-cost', { case: 'slope', seed, of, per, points, ...fitLine(points) });
 }
 
-/** Runs the bench; slopes come last. */
+/** Runs all cases, then prints the slopes. */
 export async function benchControlCost(seed: number): Promise<void> {
   const processes = new QuickstartProcesses(FOLDER);
   await mkdir(FOLDER, { recursive: true });
--- a/bench/BenchControlGroups.ts
+++ b/bench/BenchControlGroups.ts
@@ -1,4 +1,4 @@
-/** Cost of leases on groups at the control process that leads. */
+/** Cost of group leases at the leading control process. */
 import type { QuickstartProcesses } from '../tools/QuickstartProcess.js';
 import {
   attachProcess,
@@ -9,10 +9,10 @@
 } from './BenchControlProcess.js';
 import { range, report } from './BenchReport.js';
 
-/** A holder renews this often. In ms. */
+/** Interval at which a holder renews its lease, ms. */
 const RENEW_INTERVAL_MS = 2_000;
 
-/** What so many groups' leases cost. */
+/** Cost of the leases of a number of groups. */
 export interface GroupsCost {
   readonly groups: number;
   readonly cpuPercent: number;
@@ -23,7 +23,7 @@
   readonly lease?: { readonly token: number };
 }
 
-/** So many groups, each with a holder that renews, all over one link. */
+/** Measures a number of groups, each with a holder that renews its lease, all over one link. */
 export async function benchGroups(
   processes: QuickstartProcesses,
   groups: number,
--- a/bench/BenchControlHub.ts
+++ b/bench/BenchControlHub.ts
@@ -1,4 +1,4 @@
-/** Cost of a control process: with so many processes attached, and of submissions. */
+/** Cost of a control process with a number of attached processes, and of submissions. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { waitUntil } from '../tools/QuickstartCluster.js';
 import type { QuickstartProcesses } from '../tools/QuickstartProcess.js';
@@ -16,7 +16,7 @@
 const CUSTOMERS = 700;
 const SUBMISSIONS = 10;
 
-/** What a control process with so many attached spent. */
+/** Cost of a control process with a number of attached processes. */
 export interface HubCost {
   readonly attached: number;
   readonly joinMs: number;
@@ -29,7 +29,7 @@
   readonly inForceMs: number;
 }
 
-/** What submissions of a manifest with so many customers took. */
+/** Cost of submitting a manifest with a number of customers. */
 export interface SubmitCost {
   readonly customers: number;
   readonly medianMs: number;
@@ -37,7 +37,7 @@
   readonly residentMb: number;
 }
 
-/** A hub with so many processes attached: idle, and under changes. */
+/** Measures a control process with `count` attached processes, idle and under changes. */
 export async function benchHub(
   processes: QuickstartProcesses,
   count: number,
@@ -91,7 +91,7 @@
   return result;
 }
 
-/** A submission of a whole manifest that changes one customer, by the number of customers. */
+/** Measures submissions of a whole manifest that each change one customer. */
 export async function benchSubmit(
   processes: QuickstartProcesses,
   customers: number,
--- a/bench/BenchControlNodes.ts
+++ b/bench/BenchControlNodes.ts
@@ -1,4 +1,4 @@
-/** Cost of control at entry and endpoint processes, by what they know. */
+/** Cost of the control plane at entry and endpoint processes, by the members and customers they know. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { waitReady } from '../tools/QuickstartCluster.js';
 import { freePorts, type QuickstartProcesses } from '../tools/QuickstartProcess.js';
@@ -6,7 +6,7 @@
 import { ZONES } from './BenchFixtures.js';
 import { readUsage, report, type ProcessUsage } from './BenchReport.js';
 
-/** What an entry process that knows so much spent. */
+/** Cost of an entry process that knows a number of members and customers. */
 export interface EntryCost {
   readonly members: number;
   readonly customers: number;
@@ -15,7 +15,7 @@
   readonly residentMb: number;
 }
 
-/** A real entry process that knows so many members and customers. */
+/** Measures a real entry process that knows a number of members and customers. */
 export async function benchEntry(
   processes: QuickstartProcesses,
   members: number,
@@ -25,7 +25,7 @@
   const control = await startControl(processes);
   await submit(control, customers, 1);
   const all = await Promise.all(
-    // All in the entry process's own region, so that it is told of each.
+    // Multiples of 33 place all members in the entry process's own region, so that it is notified of each.
     Array.from({ length: members }, async (_item, i) =>
       attachProcess(control.port, 'endpoint', i * 33),
     ),
@@ -56,7 +56,7 @@
   return result;
 }
 
-/** A real endpoint process, idle. */
+/** Measures an idle endpoint process. */
 export async function benchEndpoint(processes: QuickstartProcesses, seed: number): Promise<void> {
   const control = await startControl(processes);
   await submit(control, 7_300, 1);
@@ -82,7 +82,7 @@
   await processes.stop(control.name);
 }
 
-/** Memory of a node process that does nothing, against which growth is counted. */
+/** Measures the memory of an idle Node.js process, as the base for growth. */
 export async function benchEmpty(
   processes: QuickstartProcesses,
   seed: number,
--- a/bench/BenchControlProcess.ts
+++ b/bench/BenchControlProcess.ts
@@ -1,4 +1,4 @@
-/** Processes and links of the bench of control's cost. */
+/** Processes and links of the `control-cost` bench. */
 import { connect } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
@@ -10,9 +10,9 @@
 import { makeManifest, makeMember } from './BenchFixtures.js';
 import { readUsage, round } from './BenchReport.js';
 
-/** Where processes of this bench keep their data and logs. */
+/** Folder for the data and logs of the processes of this bench. */
 export const FOLDER = fileURLToPath(new URL('../../.quickstart/control-cost', import.meta.url));
-/** The daemon's program. */
+/** Path of the daemon's program. */
 export const DAEMON = fileURLToPath(new URL('../src/daemon/DaemonMain.js', import.meta.url));
 const IDLE_WINDOW_MS = 6_000;
 
@@ -43,7 +43,7 @@
   return { name, http, link, port: linkPort, pid: child.pid ?? 0 };
 }
 
-/** Submits a manifest; its log index once it is accepted. */
+/** Submits a manifest; returns its log index. @throws if it isn't accepted. */
 export async function submit(
   { http }: ControlProcess,
   customers: number,
@@ -55,19 +55,19 @@
   });
   const body = (await response.body.json()) as { result?: string; index?: number };
   if (body.result !== 'accepted') {
-    throw new Error(`not accepted: ${JSON.stringify(body)}`);
+    throw new Error(`manifest not accepted: ${JSON.stringify(body)}`);
   }
   return body.index ?? 0;
 }
 
-/** One attached process, as far as its control process can tell. */
+/** An attached process that is simulated by its link. */
 export interface AttachedProcess {
   readonly link: TransportLink;
   index: number;
   appliedAt: number;
 }
 
-/** Attaches a process that is a link and nothing more. */
+/** Attaches a simulated process, which consists of its link only. */
 export async function attachProcess(
   port: number,
   role: 'entry' | 'endpoint',
@@ -100,13 +100,13 @@
   return all.reduce((sum, { link }) => sum + link.bytes.sent + link.bytes.received, 0);
 }
 
-/** What a process spent. */
+/** Usage of an idle process. */
 export interface IdleCost {
   readonly cpuPercent: number;
   readonly bytesPerSecond: number;
 }
 
-/** Account of a process over some idle time. */
+/** Measures the CPU time of a process and its traffic over the idle window. */
 export async function measureIdle(pid: number, bytes: () => number): Promise<IdleCost> {
   const before = await readUsage(pid);
   const bytesBefore = bytes();
--- a/bench/BenchControlPure.ts
+++ b/bench/BenchControlPure.ts
@@ -1,4 +1,4 @@
-/** Cost of pure decisions at the full counts, in this process. */
+/** Cost of pure decisions at full deployment size, in this process. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
   deterministicSubset,
@@ -11,7 +11,7 @@
 import { makeMember } from './BenchFixtures.js';
 import { report, round } from './BenchReport.js';
 
-/** How evenly subsets cover the endpoints of an AZ, against rendezvous hashing alone. */
+/** Reports how evenly subsets cover the endpoints of an AZ, compared with rendezvous hashing alone. */
 export function benchSubset(seed: number): void {
   const entries = Array.from({ length: 87 }, (_item, i) => `entry-${seed}-${i}`);
   const endpoints = Array.from({ length: 264 }, (_item, i) => `endpoint-${seed}-${i}`);
@@ -31,7 +31,7 @@
   });
 }
 
-/** CPU of one routing decision against the endpoints of the service. */
+/** Measures the time of one routing decision, us, by the number of endpoints of the service. */
 export function benchRoute(endpoints: number, seed: number): readonly [number, number] {
   const rng = xoroshiro128plus(seed);
   const records = Array.from({ length: endpoints }, (_item, i) => ({
--- a/bench/BenchFixtures.ts
+++ b/bench/BenchFixtures.ts
@@ -1,16 +1,16 @@
-/** Tables of any size for benches: members, manifests and engines that aren't there. */
+/** Generated members and manifests of any size for benches. */
 import type { Manifest, MemberRecord, Role } from '../src/protocol/index.js';
 
-/** Zones of the full size: 3 regions with 11 AZs. */
+/** Zones of a full-size deployment: 11 AZs in 3 regions. */
 export const ZONES = Array.from({ length: 11 }, (_item, i) => ({
   name: `az-${i + 1}`,
   region: `region-${(i % 3) + 1}`,
 }));
 
-/** Models of the full size. */
+/** Number of models of a full-size deployment. */
 const MODELS = 8;
 
-/** A member; endpoints are spread over zones and models. */
+/** Makes a member; endpoints are spread over zones and models. */
 export function makeMember(role: Role, i: number, incarnation = 1): MemberRecord {
   const zone = ZONES[i % ZONES.length]?.name ?? '';
   return {
@@ -29,7 +29,7 @@
   };
 }
 
-/** A manifest with so many customers. */
+/** Makes a manifest with a number of customers. */
 export function makeManifest(customers: number, version: number): Manifest {
   return {
     fleet: 'fleet',
@@ -48,7 +48,7 @@
     customers: Array.from({ length: customers }, (_item, i) => ({
       name: `customer-${i}`,
       share: 1 + (i % 5),
-      // The version shows in one customer, so that each submission is a small change.
+      // The version changes one customer's limit, so that each submission is a small change.
       maxInFlight: i === version % customers ? 64 + version : 64,
     })),
   };
--- a/bench/BenchMain.ts
+++ b/bench/BenchMain.ts
@@ -1,6 +1,6 @@
-/** `npm run bench -- NAME`: prints one JSON line a case, with its seed. */
+/** `npm run bench -- NAME [SEED]`: runs a bench, which prints one JSON line per case. */
 
-/** A bench; its seed makes every random choice. */
+/** A bench; the seed determines every random choice. */
 export type Bench = (seed: number) => Promise<void>;
 
 const BENCHES: Readonly<Record<string, () => Promise<Bench>>> = {
--- a/bench/BenchOverhead.ts
+++ b/bench/BenchOverhead.ts
@@ -1,4 +1,4 @@
-/** What an entry process and a gate add to a request, against straight to the stand-in. */
+/** Overhead of an entry process and a gate on a request, compared with a direct request to the stand-in. */
 import { fileURLToPath } from 'node:url';
 import { Agent } from 'undici';
 import { QuickstartCluster, waitReady } from '../tools/QuickstartCluster.js';
@@ -54,7 +54,7 @@
     events += countEvents(chunk as Buffer);
   }
   if (response.statusCode !== 200) {
-    throw new Error(`answer ${response.statusCode}`);
+    throw new Error(`unexpected status ${response.statusCode}`);
   }
   return { ms: performance.now() - startedAt, events, gaps };
 }
@@ -130,7 +130,7 @@
   }
 }
 
-/** Runs the bench. Nothing in it is random; the seed is printed for form's sake. */
+/** Runs the bench. Nothing in it is random; the seed is only printed. */
 export async function benchOverhead(seed: number): Promise<void> {
   await withCluster([1_000, 0, 0], async ({ addresses }, agent) => {
     const direct = quantiles(await benchLatency(agent, addresses.engines['engine-1'] ?? ''));
--- a/bench/BenchPlacement.ts
+++ b/bench/BenchPlacement.ts
@@ -1,4 +1,4 @@
-/** Skew and cost of moving, by the real placement core and its baselines, over drifting loads. */
+/** Skew and cost of moves of the real placement core and of baselines, under drifting loads. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import {
@@ -17,7 +17,7 @@
 const INTERVALS = 60;
 const STEPS = 100;
 const STEP_MS = 8;
-/** Copying an expert at the store's rate, as step time lost to it, ms. */
+/** Step time lost to copying one expert at the store's rate, ms. */
 const MOVE_COST_MS = 40;
 const STABLE_STEPS = 2_000;
 const THRESHOLD = 1.15;
@@ -34,7 +34,7 @@
   { ranks: 64, experts: 256, layers: 4 },
 ];
 
-/** What a policy knows when it decides for the interval that comes. */
+/** Input of a policy for its decision on the next interval. */
 interface PolicyInput {
   readonly map: PlacementMap;
   readonly estimate: PlacementEstimate;
@@ -107,7 +107,7 @@
   return { skews, moves, decideMs };
 }
 
-/** Intervals after the shift until the skew is within 10% of the clairvoyant's. */
+/** Intervals after the shift until the skew is within 10% of the clairvoyant's; -1 if it never is. */
 function intervalsToRecover(skews: readonly number[], bound: readonly number[]): number {
   const after = range(INTERVALS - SHIFT_AT - 1).find(
     (i) => (skews[SHIFT_AT + i] ?? 9) <= 1.1 * (bound[SHIFT_AT + i] ?? 1),
@@ -119,7 +119,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** What one policy did in one scenario: a point of the trade-off. */
+/** Result of one policy in one scenario: a point of the trade-off between skew and moves. */
 export interface PlacementPoint {
   readonly size: string;
   readonly scenario: Scenario;
@@ -141,7 +141,7 @@
   });
   const bound = outcomes.find(({ name }) => name === 'clairvoyant greedy')?.runs ?? [];
   return outcomes.map(({ name, runs }) => {
-    // The first intervals, in which everybody starts from the static map, count like the others.
+    // The first intervals count as well, although every policy starts there from the static map.
     const skews = runs.flatMap((run) => run.skews).sort((a, b) => a - b);
     const moves = runs.reduce((sum, run) => sum + run.moves, 0) / size.layers;
     const point: PlacementPoint = {
@@ -167,7 +167,7 @@
   });
 }
 
-/** Runs the bench over five seeds from the one given. */
+/** Runs the bench over five consecutive seeds. */
 export async function benchPlacement(seed: number): Promise<void> {
   const points = SIZES.flatMap((size) =>
     SCENARIOS.flatMap((scenario) =>
--- a/bench/BenchPlacementBaselines.ts
+++ b/bench/BenchPlacementBaselines.ts
@@ -1,7 +1,7 @@
-/** Baselines of placement: a static map, and greedy solutions from scratch. */
+/** Baselines for placement: a static map, and a greedy solution from scratch. */
 import type { PlacementMap } from '../src/coordination/index.js';
 
-/** Experts laid out in order, and the spare slots with the experts that follow. */
+/** Places experts in order; spare slots hold copies of the experts that follow. */
 export function staticMap(ranks: number, experts: number, slots: number): PlacementMap {
   const expertsPerRank = experts / ranks;
   return Array.from({ length: ranks }, (_rank, rank) =>
@@ -9,7 +9,7 @@
   );
 }
 
-/** Replicates the hottest expert until all slots are used, then packs by longest first. */
+/** Replicates the expert with the highest load per copy while slots are free, then places copies by descending load. */
 export function solveGreedily(
   load: readonly number[],
   ranks: number,
@@ -49,7 +49,7 @@
   return rows;
 }
 
-/** Experts that must be copied to go from one map to another. */
+/** Number of experts that must be copied to change from one map to another. */
 export function countMoves(from: PlacementMap, to: PlacementMap): number {
   return to.reduce(
     (sum, row, rank) => sum + row.filter((expert) => !from[rank]?.includes(expert)).length,
--- a/bench/BenchPlacementLoad.ts
+++ b/bench/BenchPlacementLoad.ts
@@ -1,4 +1,4 @@
-/** Skewed, drifting loads on experts, made from a seed. */
+/** Skewed loads on experts that change over time, generated from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
@@ -9,17 +9,17 @@
 /** All scenarios. */
 export const SCENARIOS: readonly Scenario[] = ['drift', 'shift', 'flip', 'noise', 'slow rank'];
 
-/** Intervals at which the topic shifts, and flips back. */
+/** Intervals at which the popularity of experts shifts, and shifts back. */
 export const SHIFT_AT = 20;
 const FLIP_AT = 40;
 
-/** Counted tokens an expert and interval, on average. */
+/** Mean number of counted tokens per expert and interval. */
 const TOKENS = 400;
 
-/** Spread of one interval's change of an expert's load while it drifts. */
+/** Standard deviation of the change of an expert's log load in one interval of drift. */
 const DRIFT = 0.03;
 
-/** A standard normal number, by Box and Muller. */
+/** A standard normal number, by the Box-Muller transform. */
 function normal(rng: RandomGenerator): number {
   const u = 1 - uniformFloat64(rng);
   return Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * uniformFloat64(rng));
@@ -32,7 +32,7 @@
     .map(({ item }) => item);
 }
 
-/** True load of each expert in each interval, for one layer. Zipf's exponent is 0.8 to 1.2. */
+/** True load of each expert in each interval, for one layer. The Zipf exponent is between 0.8 and 1.2. */
 export function makeLoad(
   scenario: Scenario,
   experts: number,
@@ -54,7 +54,7 @@
   });
 }
 
-/** What counters show of a true load in one interval. */
+/** Noisy counts of a true load in one interval. */
 export function countLoad(load: readonly number[], rng: RandomGenerator): readonly number[] {
   const total = load.reduce((sum, part) => sum + part, 0);
   return load.map((part) => {
--- a/bench/BenchPlan.ts
+++ b/bench/BenchPlan.ts
@@ -1,4 +1,4 @@
-/** Time of the real plan of a group's expert maps, and what it reaches, over demand that shifts. */
+/** Time and resulting skew of the real planner of a group's expert maps, under demand that shifts. */
 import {
   expectedLoad,
   initDemand,
@@ -13,13 +13,13 @@
 
 const SEEDS = 3;
 
-/** A plan that takes less off the skew than this is not carried out. */
+/** Minimum reduction of the skew for which a plan is carried out. */
 const MIN_GAIN = 0.1;
 
-/** What the plans of one seed took and reached. */
+/** Times and results of the plans of one seed. */
 export interface PlanRun {
   readonly planMs: readonly number[];
-  /** Times of those plans that are carried out. */
+  /** Times of the plans that are carried out. */
   readonly changeMs: readonly number[];
   readonly skewBefore: readonly number[];
   readonly skewAfter: readonly number[];
@@ -30,7 +30,7 @@
   return totals.map((set, s) => set.map((total, e) => total + (counts[s]?.[e] ?? 0)));
 }
 
-/** Plans a group's maps over demand that drifts and shifts, timed by a clock in ms. */
+/** Plans a group's maps under demand that drifts and shifts; `clock` returns ms. */
 export function runPlans(
   size: PlanSize,
   seed: number,
@@ -66,7 +66,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Runs the bench for each size, from the seed given. */
+/** Runs the bench for each size over three consecutive seeds. */
 export async function benchPlan(seed: number): Promise<void> {
   PLAN_SIZES.forEach((size) => {
     const { ranks, experts, sets, shape } = size;
--- a/bench/BenchPlanLoad.ts
+++ b/bench/BenchPlanLoad.ts
@@ -1,4 +1,4 @@
-/** Demand on a group's experts that drifts, is skewed and shifts, made from a seed. */
+/** Skewed demand on a group's experts that drifts and shifts, generated from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
@@ -15,7 +15,7 @@
   readonly policy: MapPolicy;
 }
 
-/** Groups from the smallest to the largest deployed, and one of the size that is planned for. */
+/** Groups from the smallest to the largest deployed, and one of a size planned for the future. */
 export const PLAN_SIZES: readonly PlanSize[] = [
   { ranks: 12, experts: 96, sets: 3, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
   { ranks: 16, experts: 128, sets: 4, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
@@ -28,7 +28,7 @@
   policy: { maxCopiesPerRank: size.shape.maxNewExperts * size.sets, gainPerCopy: 0.004 },
 }));
 
-/** Experts in turn over the ranks, each once. */
+/** A map that distributes the experts round-robin over the ranks, each once. */
 export function initialMap({ ranks, experts, sets }: PlanSize): GroupMap {
   return range(sets).map(() =>
     range(ranks).map((rank) =>
@@ -42,16 +42,16 @@
 /** Intervals from one shift to the next. */
 const SHIFT_INTERVALS = 8;
 
-/** Part of the demand that a shift moves to other experts. */
+/** Share of the demand that a shift moves to other experts. */
 const SHIFTED_SHARE = 0.65;
 
-/** Spread of one interval's change of an expert's demand. */
+/** Maximum change of an expert's log demand in one interval. */
 const DRIFT = 0.05;
 
-/** Choices of one set and interval, over all experts. */
+/** Number of choices of one set in one interval, over all experts. */
 const CHOICES = 20_000;
 
-/** Exponent of the demand by rank of popularity. */
+/** Zipf exponent of the demand by popularity. */
 const EXPONENT = 0.8;
 
 function drawPopularity(experts: number, rng: RandomGenerator): readonly number[] {
@@ -65,7 +65,7 @@
   return weights;
 }
 
-/** Choices of one interval; the noise has the spread of counts. */
+/** Choices of one interval; the noise has the variance of Poisson counts. */
 function drawCounts(weights: readonly number[], rng: RandomGenerator): readonly number[] {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => {
--- a/bench/BenchQuarantine.ts
+++ b/bench/BenchQuarantine.ts
@@ -1,4 +1,4 @@
-/** Who is refused wrongly for having run beside a request that ends endpoints, and what the screening costs. */
+/** Requests refused wrongly because they ran beside a request that crashes endpoints, and the cost of the screening. */
 import {
   EMPTY_QUARANTINE,
   hashQuarantine,
@@ -44,7 +44,7 @@
   });
 }
 
-/** Median time of a task, microseconds. */
+/** Median time of a task, us. */
 function medianUs(task: () => void): number {
   const times = Array.from({ length: 101 }, () => {
     const begun = performance.now();
@@ -76,7 +76,7 @@
   });
 }
 
-/** Prints a line a case. */
+/** Prints one line per case. */
 export async function benchQuarantine(seed: number): Promise<void> {
   benchNeighbours(seed);
   benchCost(seed);
--- a/bench/BenchQuarantineModel.ts
+++ b/bench/BenchQuarantineModel.ts
@@ -1,4 +1,4 @@
-/** Model of endpoints, callers and requests that end the endpoints that run them, over the real set of suspects. */
+/** Model of endpoints, callers and requests that crash the endpoints that run them, with the real set of suspects. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import {
@@ -9,28 +9,28 @@
   type QuarantineState,
 } from '../src/coordination/index.js';
 
-/** What is played. */
+/** Parameters of a simulation. */
 export interface QuarantineShape {
   readonly endpoints: number;
-  /** Whether the endpoints are ranks of one group, whose work all ends with any of them. */
+  /** Whether the endpoints are ranks of one group, which loses all its requests when any of them crashes. */
   readonly isGroup: boolean;
   /** Requests in progress at each endpoint. */
   readonly inProgress: number;
-  /** Different requests that end endpoints. */
+  /** Number of different requests that crash endpoints. */
   readonly fatalRequests: number;
-  /** Endpoints that end for a reason of their own, a minute. */
+  /** Crashes per minute, over all endpoints, that no request causes. */
   readonly ownEnds: number;
 }
 
-/** What came of it. */
+/** Result of a simulation. */
 export interface QuarantineOutcome {
-  /** Ends by requests, and by themselves. */
+  /** Crashes caused by requests, and crashes for other reasons. */
   readonly ends: number;
   readonly ownEnds: number;
   readonly innocent: number;
-  /** Innocent requests that were refused since ends were held against them. */
+  /** Innocent requests that were refused because of the crashes counted against them. */
   readonly wronglyHeld: number;
-  /** Innocent requests that were never served, wrongly held ones aside. */
+  /** Innocent requests that were never served, not counting wrongly refused ones. */
   readonly lost: number;
 }
 
@@ -38,7 +38,7 @@
 const DURATION_MS = 120_000;
 const RUN_MS = 1_500;
 const RESTART_MS = 4_000;
-/** A caller that lost its request sends it again within this, so often at most; a guilty one comes this often. In ms. */
+/** A caller retries a lost request within this, `MAX_RETRIES` times at most; a fatal one is sent at its own interval, ms. */
 const RETRY_WINDOW_MS = 2_500;
 const MAX_RETRIES = 4;
 const FATAL_INTERVAL_MS = 1_000;
@@ -46,7 +46,7 @@
 interface ModelRequest {
   readonly digest: string;
   readonly isFatal: boolean;
-  /** How often it was sent before. */
+  /** Number of times that it was sent before. */
   readonly retries: number;
   readonly endAt: number;
 }
@@ -57,7 +57,7 @@
   readonly at: number;
 }
 
-/** The model at work. */
+/** A running simulation. */
 class QuarantineModel {
   readonly #shape: QuarantineShape;
 
@@ -120,7 +120,7 @@
     }
   }
 
-  /** Requests that are answered whole clear themselves. */
+  /** Completes requests that are due; a complete answer clears the request as a suspect. */
   #completeRequests(at: number, now: number): void {
     const items = this.#running[at] ?? [];
     items
@@ -131,7 +131,7 @@
     this.#running[at] = items.filter(({ endAt }) => endAt > now);
   }
 
-  /** Keeps each endpoint at the number in progress with new requests. */
+  /** Sends new requests so that each running endpoint has the given number in progress. */
   #fill(now: number): void {
     this.#running.forEach((items, at) => {
       if (!this.#isUp(at, now)) {
@@ -140,7 +140,7 @@
       while (items.length < this.#shape.inProgress) {
         this.#counter += 1;
         this.#count.innocent += 1;
-        // The first of all begin at different times.
+        // The initial requests end at random times, so that they aren't in step.
         const endAt = now + RUN_MS * (now === 0 ? this.#random() : 1);
         items.push({ digest: `r${this.#counter}`, isFatal: false, retries: 0, endAt });
       }
@@ -184,7 +184,7 @@
     });
   }
 
-  /** Callers of requests that were lost or found no endpoint return, unless they have given up. */
+  /** Schedules retries of requests that were lost or found no endpoint; drops those without retries left. */
   #scheduleRetries(items: readonly Omit<ModelRequest, 'endAt'>[], from: number): void {
     const innocent = items.filter(({ isFatal }) => !isFatal);
     const back = innocent.filter(({ retries }) => retries < MAX_RETRIES);
@@ -198,7 +198,7 @@
   }
 }
 
-/** Plays two minutes; requests with so many ends are sent to no endpoint. */
+/** Simulates two minutes; requests with `quarantineCrashes` crashes are sent to no endpoint. */
 export function simulateQuarantine(
   shape: QuarantineShape,
   mostEnds: number,
--- a/bench/BenchRecovery.ts
+++ b/bench/BenchRecovery.ts
@@ -1,4 +1,4 @@
-/** How fast the system recovers: a new leader, and a change in force on all processes. */
+/** Time until a new leader accepts a change, and until a change is in force at all processes. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { pack } from 'msgpackr';
@@ -42,7 +42,7 @@
   });
 }
 
-/** Kills the leader; ms until another accepts a change. */
+/** Kills the leader; returns the time until another accepts a change, ms. */
 async function killLeader(cluster: QuickstartCluster, version: number): Promise<number> {
   const { controls } = cluster.addresses;
   const names = ZONES.map((zone) => QuickstartCluster.controlName(zone));
@@ -59,7 +59,7 @@
   return ms;
 }
 
-/** Runs the bench on the quickstart's system: 3 control, 6 entry, 3 endpoint processes. */
+/** Runs the bench on a cluster of 3 control, 6 entry and 3 endpoint processes. */
 export async function benchRecovery(seed: number): Promise<void> {
   const cluster = new QuickstartCluster({
     folder: FOLDER,
--- a/bench/BenchReport.ts
+++ b/bench/BenchReport.ts
@@ -1,4 +1,4 @@
-/** What benches share: results as JSON lines, quantiles, least squares and the system's accounts. */
+/** Helpers of benches: JSON lines, quantiles, least squares and process usage. */
 import { readFile } from 'node:fs/promises';
 import { build } from 'hdr-histogram-js';
 
@@ -7,7 +7,7 @@
   process.stdout.write(`${JSON.stringify({ bench, ...values })}\n`);
 }
 
-/** Rounds to so many significant digits. */
+/** Rounds to a number of significant digits. */
 export function round(value: number, digits = 3): number {
   return Number(value.toPrecision(digits));
 }
@@ -21,14 +21,14 @@
   return { p50: at(50), p95: at(95), p99: at(99) };
 }
 
-/** A line through points, with the part of the spread that it explains. */
+/** A fitted line, with its coefficient of determination. */
 export interface Fit {
   readonly slope: number;
   readonly intercept: number;
   readonly r2: number;
 }
 
-/** Least squares through points (x, y). */
+/** Fits a line to points (x, y) by least squares. */
 export function fitLine(points: readonly (readonly [number, number])[]): Fit {
   const n = points.length;
   const mean = (pick: (point: readonly [number, number]) => number): number =>
@@ -46,16 +46,16 @@
   };
 }
 
-/** Processor time and memory of a process by the operating system's account. */
+/** Processor time and memory of a process, as the operating system reports them. */
 export interface ProcessUsage {
   readonly cpuMs: number;
   readonly residentMb: number;
 }
 
-/** ms a tick of the kernel's processor accounts. */
+/** Length of a tick of the kernel's processor time, ms. */
 const TICK_MS = 10;
 
-/** Reads a process's account. */
+/** Reads the usage of a process from /proc. */
 export async function readUsage(pid: number): Promise<ProcessUsage> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
@@ -65,7 +65,7 @@
   return { cpuMs: ticks * TICK_MS, residentMb: round(kb / 1024) };
 }
 
-/** Runs an asynchronous task for each item, one after another. */
+/** Runs an asynchronous task for each item, one at a time. */
 export async function runSequentially<T, R>(
   items: readonly T[],
   task: (item: T, i: number) => Promise<R>,
@@ -76,7 +76,7 @@
   }, Promise.resolve([]));
 }
 
-/** Whole numbers from 0. */
+/** Integers from 0 to `count` - 1. */
 export function range(count: number): readonly number[] {
   return Array.from({ length: count }, (_item, i) => i);
 }
--- a/bench/BenchRouting.ts
+++ b/bench/BenchRouting.ts
@@ -1,4 +1,4 @@
-/** How evenly entry hosts spread requests over ranks that they see late, against usual policies. */
+/** How evenly entry hosts spread requests over ranks whose load they see late, compared with common policies. */
 import { chooseRank, workAt, type GroupSlots } from '../src/coordination/index.js';
 import { report, round } from './BenchReport.js';
 import { simulateRouting, ROUTING_SHAPES, type RoutingPolicy } from './BenchRoutingModel.js';
@@ -7,7 +7,7 @@
   return groups.flatMap(({ ranks }) => ranks.map(({ endpoint }) => endpoint));
 }
 
-/** All hosts share one turn, which is more than real ones can. */
+/** Round robin with one counter shared by all hosts, which real hosts couldn't have. */
 function roundRobin(): RoutingPolicy {
   let turn = 0;
   return (groups) => {
@@ -17,7 +17,7 @@
   };
 }
 
-/** Least of what is known of all ranks: own work and, in full, what the last report tells of others. */
+/** Chooses the rank with the least known work: its own and, in full, that of others by the last report. */
 const leastRequests: RoutingPolicy = (groups, own, _zone, random) => {
   const scored = groups.flatMap((state) =>
     state.ranks.map((rank) => ({
@@ -28,7 +28,7 @@
   return scored.reduce((a, b) => (b.score < a.score ? b : a)).endpoint;
 };
 
-/** Two ranks drawn from all. */
+/** Chooses the less loaded of two ranks drawn at random. */
 const twoChoices: RoutingPolicy = (groups, own, _zone, random) => {
   const all = groups.flatMap((state) => state.ranks.map((rank) => ({ state, rank })));
   const drawn = [0, 1].flatMap(() => all[Math.floor(random() * all.length)] ?? []);
@@ -46,7 +46,7 @@
   'two choices': () => twoChoices,
 };
 
-/** Prints a line a shape and policy. */
+/** Prints one line per shape and policy. */
 export async function benchRouting(seed: number): Promise<void> {
   Object.entries(ROUTING_SHAPES).forEach(([shape, size]) => {
     Object.entries(POLICIES).forEach(([policy, make]) => {
--- a/bench/BenchRoutingModel.ts
+++ b/bench/BenchRoutingModel.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of entry hosts before the ranks of groups: requests come at random, reports of load are
- * taken every quarter of a second and arrive late, and each host knows at once only what it sent itself.
+ * A small model of entry hosts that route to the ranks of groups: requests arrive at random, load reports are
+ * taken every quarter of a second and arrive late, and each host knows at once only what it has sent itself.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -13,7 +13,7 @@
 import type { EngineCosts } from '../src/protocol/index.js';
 import { range } from './BenchReport.js';
 
-/** How an entry host chooses a rank's endpoint; null where it finds none. */
+/** Chooses the endpoint of a rank for an entry host; null if it finds none. */
 export type RoutingPolicy = (
   groups: readonly GroupSlots[],
   own: ReadonlyMap<string, number>,
@@ -27,17 +27,17 @@
   readonly groups: number;
   readonly ranks: number;
   readonly slots: number;
-  /** Requests a second over all hosts. */
+  /** Requests per second over all hosts. */
   readonly rate: number;
 }
 
-/** What a policy came to. */
+/** Result of a policy. */
 export interface RoutingOutcome {
-  /** Fullest over mean rank, averaged over time. */
+  /** Requests at the fullest rank over the mean of all ranks, averaged over time. */
   readonly maxOverMean: number;
-  /** Part of the requests that met a rank without a free slot. */
+  /** Share of the requests that were sent to a rank without a free slot. */
   readonly queued: number;
-  /** Part of the requests that went to another AZ. */
+  /** Share of the requests that were sent to another AZ. */
   readonly remote: number;
 }
 
@@ -48,7 +48,7 @@
 const WARMUP_MS = 5_000;
 const DURATION_MS = 30_000;
 
-/** Mean time that a request runs: 23 events, 70 ms apart; it varies from 0.3 to 1.7 of that. */
+/** Mean duration of a request: 23 events, 70 ms apart; durations vary from 0.3 to 1.7 times that. */
 const RUN_MS = 1_600;
 
 const COSTS: Omit<EngineCosts, 'slots'> = {
@@ -135,7 +135,7 @@
         this.#parameters,
       ),
     );
-    // Callers are bound to hosts by a hash, so that some get three times what others get.
+    // Callers are assigned to hosts by a hash, so that some hosts get up to three times the load of others.
     this.#hosts = range(shape.hosts).map((host) => ({
       groups,
       zone: `z${host % ZONES}`,
@@ -242,7 +242,7 @@
   }
 }
 
-/** Plays a policy on a shape. */
+/** Simulates a policy on a deployment. */
 export function simulateRouting(
   shape: RoutingShape,
   policy: RoutingPolicy,
@@ -251,7 +251,7 @@
   return new RoutingModel(shape, policy, seed).run();
 }
 
-/** Deployments that are looked at: today's two sizes. */
+/** Simulated deployments: the two sizes in use. */
 export const ROUTING_SHAPES: Readonly<Record<string, RoutingShape>> = {
   '6 hosts, 12 ranks': { hosts: 6, groups: 1, ranks: 12, slots: 8, rate: 45 },
   '31 hosts, 72 ranks': { hosts: 31, groups: 3, ranks: 24, slots: 7, rate: 207 },
--- a/bench/__tests__/unit/BenchPlan.test.ts
+++ b/bench/__tests__/unit/BenchPlan.test.ts
@@ -33,16 +33,16 @@
 }
 
 describe('plans of maps over demand that drifts and shifts', () => {
-  // Load pattern: skewed demand on a large group, two thirds of which move every eight intervals. Guards against: a
-  // plan takes as long as a pass of a coordinator that has two fifths of a core, and the map comes late each time.
+  // The demand on a large group is skewed, and two thirds of it move every eight intervals. A plan must not take as
+  // long as one round of a coordinator that has two fifths of a core, since every map would then come late.
   it('plans 63 ranks with 8 sets of 252 experts within a few ms', () => {
     const size = sizeOf(63, 8);
-    // Processor time, the least of five: other programs take their part of the machine.
+    // The minimum of five processor times is used, since other programs share the machine.
     const medians = range(5).map(() => median(runPlans(size, 1, processorMs).changeMs));
     assert.ok(Math.min(...medians) < 15, `${medians.join(', ')} ms`);
   });
 
-  // The same load. Guards against: a faster search that settles for less even maps, or pays for them with copies.
+  // The same demand. A faster search must not settle for less even maps, nor need more copies for them.
   it('reaches even maps for few copies', () => {
     const small = play(sizeOf(12, 11));
     assert.ok(small.skew < 1.083, `${small.skew}`);
--- a/bench/__tests__/unit/BenchRouting.test.ts
+++ b/bench/__tests__/unit/BenchRouting.test.ts
@@ -9,17 +9,17 @@
 }
 
 describe('choice of a rank by many entry hosts', () => {
-  // 31 entry hosts see reports a quarter of a second old. Callers of a rank that was idle in the last
-  // one wait behind each other there, past their objective, while ranks beside it have slots free:
-  // every host had sent its next request to that same rank.
-  it('does not herd on what was idle in a report', () => {
+  // 31 entry hosts see load reports that are a quarter of a second old. If every host sends its next request to the
+  // rank that was idle in the last report, these requests queue there, beyond their objective, while other ranks
+  // have free slots.
+  it('does not send all requests to a rank that was idle in a report', () => {
     const { maxOverMean, queued, remote } = play('31 hosts, 72 ranks');
     assert.ok(queued < 0.06, `${queued} queued`);
     assert.ok(maxOverMean < 2.1, `${maxOverMean}`);
     assert.ok(remote < 0.2, `${remote} remote`);
   });
 
-  it('spreads as evenly where few hosts know most of the load themselves', () => {
+  it('spreads evenly where few hosts know most of the load themselves', () => {
     const { maxOverMean, queued } = play('6 hosts, 12 ranks');
     assert.ok(queued < 0.12, `${queued} queued`);
     assert.ok(maxOverMean < 1.55, `${maxOverMean}`);
