--- a/bench/BenchQuarantineModel.ts
+++ b/bench/BenchQuarantineModel.ts
@@ -38,7 +38,7 @@
 const DURATION_MS = 120_000;
 const RUN_MS = 1_500;
 const RESTART_MS = 4_000;
-/** A caller retries a lost request within this, `MAX_RETRIES` times at most; a fatal one is sent at its own interval, ms. */
+/** A caller retries a lost request within this, ms, `MAX_RETRIES` times at most; fatal ones have an interval of their own. */
 const RETRY_WINDOW_MS = 2_500;
 const MAX_RETRIES = 4;
 const FATAL_INTERVAL_MS = 1_000;
