--- a/spec/SpecConsensus.ts
+++ b/spec/SpecConsensus.ts
@@ -30,7 +30,7 @@
   /** Highest index that each replica has acknowledged. */
   readonly acks: Readonly<Record<string, number>>;
   /** Votes granted in this term, as `voter>candidate`, including those the voter has lost from its disk. */
-  readonly given: readonly string[];
+  readonly granted: readonly string[];
 }
 
 interface State {
@@ -40,7 +40,7 @@
   readonly committed: readonly Entry[];
   /** Highest term in which an entry was committed. */
   readonly committedTerm: number;
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
   readonly wiped: boolean;
   readonly crashes: number;
 }
@@ -82,18 +82,18 @@
 }
 
 function emptyTerm(): Term {
-  return { leader: '', leading: false, log: [], acks: {}, given: [] };
+  return { leader: '', leading: false, log: [], acks: {}, granted: [] };
 }
 
 function setReplica(state: State, id: string, change: Partial<Replica>): State {
-  const known = state.replicas[id] ?? emptyReplica();
-  return { ...state, replicas: { ...state.replicas, [id]: { ...known, ...change } } };
+  const current = state.replicas[id] ?? emptyReplica();
+  return { ...state, replicas: { ...state.replicas, [id]: { ...current, ...change } } };
 }
 
 function setTerm(state: State, term: number, change: Partial<Term>): State {
   return {
     ...state,
-    terms: state.terms.map((known, i) => (i === term ? { ...known, ...change } : known)),
+    terms: state.terms.map((current, i) => (i === term ? { ...current, ...change } : current)),
   };
 }
 
@@ -113,7 +113,7 @@
 /** Replicas that have granted a candidate their vote in a term. */
 function votesFor(state: State, term: number, id: string): readonly string[] {
   return termOf(state, term)
-    .given.filter((vote) => vote.endsWith(`>${id}`))
+    .granted.filter((vote) => vote.endsWith(`>${id}`))
     .map((vote) => vote[0] ?? '');
 }
 
@@ -128,29 +128,30 @@
   campaign: (state, { id, term }) => {
     const votes = [...replicaOf(state, id).votes];
     votes[term] = id;
-    const given = [...termOf(state, term).given, `${id}>${id}`].sort();
+    const granted = [...termOf(state, term).granted, `${id}>${id}`].sort();
     const next = setReplica(state, id, { term, votes: Array.from(votes, (vote) => vote ?? '') });
-    return setTerm(next, term, { given });
+    return setTerm(next, term, { granted });
   },
   /** `id` votes for the candidate with index `n` in `abcd`. */
   vote: (state, { id, term, n = 0 }) => {
     const candidate = 'abcd'[n] ?? '';
     const votes = Array.from(replicaOf(state, id).votes, (vote) => vote ?? '');
     votes[term] = candidate;
-    const given = [...new Set([...termOf(state, term).given, `${id}>${candidate}`])].sort();
+    const granted = [...new Set([...termOf(state, term).granted, `${id}>${candidate}`])].sort();
     const next = setReplica(state, id, { term, votes: Array.from(votes, (vote) => vote ?? '') });
-    return setTerm(next, term, { given });
+    return setTerm(next, term, { granted });
   },
   lead: (state, { id, term }) => {
-    const known = termOf(state, term);
-    const broken = known.leader !== '' && known.leader !== id ? ['two leaders in a term'] : [];
+    const current = termOf(state, term);
+    const violated =
+      current.leader !== '' && current.leader !== id ? ['two leaders in a term'] : [];
     const { log } = replicaOf(state, id);
     // A leader of an older term that acts late can't undo what was committed since, so it needn't hold it.
     const lost = term > state.committedTerm && state.committed.some(({ t }, i) => log[i]?.t !== t);
     const next = setTerm(state, term, { leader: id, leading: true, log, acks: { [id]: 0 } });
     return {
       ...next,
-      broken: [...state.broken, ...broken, ...(lost ? ['an accepted entry was lost'] : [])],
+      violated: [...state.violated, ...violated, ...(lost ? ['an accepted entry was lost'] : [])],
     };
   },
   /** The leader appends an entry; with `n` = 1 the entry changes the voters. */
@@ -164,16 +165,16 @@
   },
   /** The first `n` entries of the leader's log arrive at `id`. */
   receive: (state, { id, term, n = 0 }, enabled) => {
-    const known = replicaOf(state, id);
+    const current = replicaOf(state, id);
     const sent = termOf(state, term).log.slice(0, n);
-    const agrees = sent.every(({ t }, i) => known.log[i]?.t === t);
-    const log = agrees ? known.log : sent;
+    const agrees = sent.every(({ t }, i) => current.log[i]?.t === t);
+    const log = agrees ? current.log : sent;
     const next = setReplica(state, id, {
       term,
       log,
       synced:
         enabled['sync before answering'] === false
-          ? Math.min(known.synced, log.length)
+          ? Math.min(current.synced, log.length)
           : log.length,
     });
     const { acks } = termOf(state, term);
@@ -187,14 +188,14 @@
       ...state,
       committed: committed.length > state.committed.length ? committed : state.committed,
       committedTerm: Math.max(state.committedTerm, term),
-      broken: differs ? [...state.broken, 'two accepted entries at one index'] : state.broken,
+      violated: differs ? [...state.violated, 'two accepted entries at one index'] : state.violated,
     };
   },
   /** Crashes and restarts: unsynced entries are lost, and a leader stops leading. */
   crash: (state, { id, term }, enabled) => {
-    const known = replicaOf(state, id);
-    const votes = enabled['sync the vote'] === false ? [] : known.votes;
-    const next = setReplica(state, id, { log: known.log.slice(0, known.synced), votes });
+    const current = replicaOf(state, id);
+    const votes = enabled['sync the vote'] === false ? [] : current.votes;
+    const next = setReplica(state, id, { log: current.log.slice(0, current.synced), votes });
     const led = termOf(next, term).leader === id;
     const stopped = led ? setTerm(next, term, { leading: false }) : next;
     return { ...stopped, crashes: state.crashes + 1 };
@@ -218,12 +219,12 @@
   const next = term + 1;
   const campaign: readonly Event[] =
     mayCampaign && next <= bounds.terms ? [{ type: 'campaign', id, term: next }] : [];
-  const lead = state.terms.flatMap((known, t) =>
+  const lead = state.terms.flatMap((current, t) =>
     t > 0 &&
     t === term &&
     votes[t] === id &&
-    known.leader !== id &&
-    known.acks[id] === undefined &&
+    current.leader !== id &&
+    current.acks[id] === undefined &&
     isQuorum(votersOf(log), votesFor(state, t, id))
       ? [{ type: 'lead', id, term: t }]
       : [],
@@ -308,8 +309,8 @@
     b: { term: 2, log: [], votes: ['', 'a', 'c'], synced: 0 },
     c: { term: 2, log: [{ t: 2 }], votes: ['', '', 'c'], synced: 1 },
   };
-  const first = { leader: 'a', log: [{ t: 1 }], acks: { a: 0 }, given: ['a>a', 'b>a'] };
-  const second = { leader: 'c', log: [{ t: 2 }], acks: { c: 0 }, given: ['b>c', 'c>c'] };
+  const first = { leader: 'a', log: [{ t: 1 }], acks: { a: 0 }, granted: ['a>a', 'b>a'] };
+  const second = { leader: 'c', log: [{ t: 2 }], acks: { c: 0 }, granted: ['b>c', 'c>c'] };
   return setTerm(setTerm({ ...state, replicas }, 1, first), 2, second);
 }
 
@@ -323,9 +324,9 @@
     d: emptyReplica(),
   };
   const acks = { a: 0, c: 1 };
-  const given = ['a>a', 'b>a', 'c>a'];
+  const granted = ['a>a', 'b>a', 'c>a'];
   const accepted = { ...state, replicas, committed: log, committedTerm: 1 };
-  return setTerm(accepted, 1, { leader: 'a', leading: true, log, acks, given });
+  return setTerm(accepted, 1, { leader: 'a', leading: true, log, acks, granted });
 }
 
 const INITIAL_STATES: Readonly<Record<string, (state: State) => State>> = {
@@ -351,12 +352,12 @@
       terms: Array.from({ length: bounds.terms + 1 }, emptyTerm),
       committed: [],
       committedTerm: 0,
-      broken: [],
+      violated: [],
       wiped: false,
       crashes: 0,
     }),
     events: (state, enabled) => listEvents(state, bounds, enabled),
     step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
-    violations: ({ broken }) => broken,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecLease.ts
+++ b/spec/SpecLease.ts
@@ -24,7 +24,7 @@
   /** Highest token of the orders that the engine has executed. */
   readonly executedToken: number;
   readonly restarts: number;
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -50,7 +50,7 @@
 function setHolder(state: State, i: number, change: Partial<Holder>): State {
   return {
     ...state,
-    holders: state.holders.map((known, j) => (j === i ? { ...known, ...change } : known)),
+    holders: state.holders.map((current, j) => (j === i ? { ...current, ...change } : current)),
   };
 }
 
@@ -69,9 +69,13 @@
   grant: (state, { i = 0 }) => {
     const token = state.granted + 1;
     // The log must never allow two holders whose leases are both valid by their own clocks.
-    const overlaps = state.holders.some((known, j) => j !== i && known.token > 0 && !known.expired);
-    const broken = overlaps ? [...state.broken, 'two holders whose leases both run'] : state.broken;
-    return { ...setHolder(state, i, { token, expired: false }), granted: token, broken };
+    const overlaps = state.holders.some(
+      (current, j) => j !== i && current.token > 0 && !current.expired,
+    );
+    const violated = overlaps
+      ? [...state.violated, 'two holders whose leases both run']
+      : state.violated;
+    return { ...setHolder(state, i, { token, expired: false }), granted: token, violated };
   },
   expire: (state, { i = 0 }) => setHolder(state, i, { expired: true }),
   notice: (state, { i = 0 }) => setHolder(state, i, { token: 0 }),
@@ -100,10 +104,10 @@
     ...state,
     toEngine: removeOne(state.toEngine, token),
     executedToken: Math.max(state.executedToken, token),
-    broken:
+    violated:
       token < state.executedToken
-        ? [...state.broken, 'an old order was carried out after a newer one']
-        : state.broken,
+        ? [...state.violated, 'an old order was carried out after a newer one']
+        : state.violated,
   }),
   restartGate: (state) => ({ ...state, highestToken: -1, restarts: state.restarts + 1 }),
   learn: (state) => ({ ...state, highestToken: Math.max(state.highestToken, state.granted) }),
@@ -134,7 +138,9 @@
   enabled: Safeguards,
 ): readonly Event[] {
   const { token, expired } = state.holders[i] ?? { token: 0, expired: false };
-  const free = state.holders.every((known, j) => j === i || known.token === 0 || known.expired);
+  const free = state.holders.every(
+    (current, j) => j === i || current.token === 0 || current.expired,
+  );
   const mayGrant = free || enabled['grant only after the lease ran out'] === false;
   return [
     ...(token === 0 && mayGrant && state.granted < bounds.grants ? [{ type: 'grant', i }] : []),
@@ -159,7 +165,7 @@
       highestToken: 0,
       executedToken: 0,
       restarts: 0,
-      broken: [],
+      violated: [],
     },
     events: (state, enabled) => [
       ...state.holders.flatMap((_holder, i) => holderEvents(state, i, bounds, enabled)),
@@ -167,6 +173,6 @@
       ...(state.restarts < bounds.restarts ? [{ type: 'restartGate' }] : []),
     ],
     step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
-    violations: ({ broken }) => broken,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecMapChange.ts
+++ b/spec/SpecMapChange.ts
@@ -33,7 +33,7 @@
   readonly sent: readonly string[];
   /** Versions whose armed step has been reached. */
   readonly reached: readonly number[];
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -81,8 +81,8 @@
 }
 
 function enterPhase(state: State, i: number, change: Partial<Coordinator>): State {
-  const coordinators = state.coordinators.map((known, j) =>
-    j === i ? { ...known, ...change } : known,
+  const coordinators = state.coordinators.map((current, j) =>
+    j === i ? { ...current, ...change } : current,
   );
   const { phase, version } = coordinators[i] ?? { phase: '', version: 0 };
   const kind = ORDER_KINDS[phase];
@@ -130,28 +130,28 @@
 
 /** Each rank's first answer to a query; null while one is missing. */
 function queryAnswers(state: State, token: number): readonly RankState[] | null {
-  const told = state.ranks.map(({ answers }) =>
+  const reports = state.ranks.map(({ answers }) =>
     answers.find((text) => text.startsWith(`q.${token}.`)),
   );
-  if (told.includes(undefined)) {
+  if (reports.includes(undefined)) {
     return null;
   }
-  return told.map((text) => {
+  return reports.map((text) => {
     const [v = 0, p = 0, a = 0, c = 0] = (text ?? '').split('.').slice(2).map(Number);
     return { v, p, a, c };
   });
 }
 
-function decideAfterQuery(state: State, i: number, told: readonly RankState[]): State {
-  const newest = Math.max(...told.map(({ v, c }) => Math.max(v, c)));
-  const open = Math.max(...told.map(({ p, a }) => Math.max(p, a)));
-  const attempted = Math.max(newest, open);
-  if (told.some(({ v }) => v < newest)) {
+function decideAfterQuery(state: State, i: number, reports: readonly RankState[]): State {
+  const newest = Math.max(...reports.map(({ v, c }) => Math.max(v, c)));
+  const pending = Math.max(...reports.map(({ p, a }) => Math.max(p, a)));
+  const attempted = Math.max(newest, pending);
+  if (reports.some(({ v }) => v < newest)) {
     return enterPhase(state, i, { phase: 'committing', version: newest, attempted });
   }
-  if (open > newest) {
-    const phase = told.every(({ a }) => a === open) ? 'committing' : 'aborting';
-    return enterPhase(state, i, { phase, version: open, attempted });
+  if (pending > newest) {
+    const phase = reports.every(({ a }) => a === pending) ? 'committing' : 'aborting';
+    return enterPhase(state, i, { phase, version: pending, attempted });
   }
   return enterPhase(state, i, { phase: 'ready', version: newest, attempted });
 }
@@ -170,11 +170,11 @@
   giveUp: (state, { i = 0 }) => enterPhase(state, i, { phase: 'aborting' }),
   advance: (state, { i = 0 }, enabled) => {
     const { phase, version } = state.coordinators[i] ?? { phase: '', version: 0 };
-    const told = phase === 'learning' ? queryAnswers(state, i + 1) : null;
-    if (told !== null) {
-      return decideAfterQuery(state, i, told);
+    const reports = phase === 'learning' ? queryAnswers(state, i + 1) : null;
+    if (reports !== null) {
+      return decideAfterQuery(state, i, reports);
     }
-    const skip = enabled['commit only once all are armed'] === false;
+    const commitsEarly = enabled['commit only once all are armed'] === false;
     const next: Readonly<Record<string, Partial<Coordinator>>> = {
       preparing: { phase: 'arming' },
       arming: { phase: 'committing' },
@@ -182,7 +182,7 @@
       aborting: { phase: 'ready', version: Math.min(...state.ranks.map(({ v }) => v)) },
     };
     const armed = enterPhase(state, i, next[phase] ?? {});
-    return skip && phase === 'preparing'
+    return commitsEarly && phase === 'preparing'
       ? enterPhase(armed, i, { phase: 'committing', version })
       : armed;
   },
@@ -192,16 +192,19 @@
       .map((part, j) => (j === 0 ? part : Number(part))) as [string, number, number];
     const rank = state.ranks[i];
     const stale = rank === undefined || (token < rank.h && enabled['refuse old tokens'] !== false);
-    const taken = stale ? null : applyOrder(rank, kind, version, enabled);
-    if (taken === null) {
+    const applied = stale ? null : applyOrder(rank, kind, version, enabled);
+    if (applied === null) {
       return state;
     }
     const next: Rank = {
-      ...taken,
-      h: Math.max(taken.h, token),
-      answers: insertSorted(taken.answers, answerOf(taken, kind, token, version)),
+      ...applied,
+      h: Math.max(applied.h, token),
+      answers: insertSorted(applied.answers, answerOf(applied, kind, token, version)),
+    };
+    return {
+      ...state,
+      ranks: sortRanks(state.ranks.map((current, j) => (j === i ? next : current))),
     };
-    return { ...state, ranks: sortRanks(state.ranks.map((known, j) => (j === i ? next : known))) };
   },
   reach: (state, { version = 0 }) => ({ ...state, reached: insertSorted(state.reached, version) }),
   /** One step of the group: ranks that know of the commit switch to the new version once its step is reached. */
@@ -215,7 +218,7 @@
     return {
       ...state,
       ranks: sortRanks(ranks),
-      broken: mixed ? ['ranks used different maps in one step'] : [],
+      violated: mixed ? ['ranks used different maps in one step'] : [],
     };
   },
 };
@@ -273,7 +276,7 @@
       ],
       sent: [],
       reached: [],
-      broken: [],
+      violated: [],
     },
     events: (state, enabled) => [
       ...(state.coordinators[1]?.phase === 'idle' ? [{ type: 'replace' }] : []),
@@ -287,6 +290,6 @@
       ...(mayStep(state, enabled) ? [{ type: 'step' }] : []),
     ],
     step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
-    violations: ({ broken }) => broken,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecRollout.ts
+++ b/spec/SpecRollout.ts
@@ -32,7 +32,7 @@
   /** Deltas sent, `from>to`. */
   readonly sent: readonly string[];
   readonly restarts: number;
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -64,15 +64,15 @@
 function setProcess(state: State, i: number, change: Partial<Process>): State {
   return {
     ...state,
-    processes: state.processes.map((known, j) => (j === i ? { ...known, ...change } : known)),
+    processes: state.processes.map((current, j) => (j === i ? { ...current, ...change } : current)),
   };
 }
 
-/** Puts an index in force at a process, and records a violation if that is a step back. */
+/** Puts an index in force at a process; records a violation if it is older than its own or, in a cut-off AZ, its peers'. */
 function applyIndex(state: State, i: number, index: number): State {
   const { applied } = state.processes[i] ?? { applied: 0 };
   const others = newestApplied(state);
-  const broken = [
+  const violated = [
     ...(index < applied ? ['a process went back to an older configuration'] : []),
     ...(applied === 0 && index < others && state.cut
       ? ['a restarted process took an older configuration than its peers hold']
@@ -80,7 +80,7 @@
   ];
   return {
     ...setProcess(state, i, { applied: index, remembered: Math.max(index, 0) }),
-    broken: [...state.broken, ...broken],
+    violated: [...state.violated, ...violated],
   };
 }
 
@@ -105,15 +105,15 @@
     serveIndex({ ...state, checked: true }, state.accepted, enabled),
   /** While cut off from the quorum, the hub serves the newest index of its disk and of the attached processes. */
   serveCutOff: (state, _event, enabled) => {
-    const learned =
+    const newestAttached =
       enabled['learn from those attached when cut off'] === false ? 0 : newestApplied(state);
-    return serveIndex({ ...state, checked: true }, Math.max(state.disk, learned), enabled);
+    return serveIndex({ ...state, checked: true }, Math.max(state.disk, newestAttached), enabled);
   },
   serveUnchecked: (state, _event, enabled) =>
     serveIndex({ ...state, checked: true }, state.disk, enabled),
   restartHub: (state) => ({
     ...state,
-    processes: state.processes.map((known) => ({ ...known, attached: false })),
+    processes: state.processes.map((current) => ({ ...current, attached: false })),
     served: 0,
     checked: false,
     restarts: state.restarts + 1,
@@ -122,7 +122,7 @@
     ...setProcess(state, i, { applied: 0, attached: false }),
     restarts: state.restarts + 1,
   }),
-  /** A process attaches and reports its index; a newer one is adopted by the hub before it serves on. */
+  /** A process attaches and reports its index; the hub adopts a newer one before it continues to serve. */
   attach: (state, { i = 0 }, enabled) => {
     const next = setProcess(state, i, { attached: true });
     const { applied } = state.processes[i] ?? { applied: 0 };
@@ -146,7 +146,7 @@
       return enabled['no delta over a gap'] === false
         ? {
             ...applyIndex(state, i, to),
-            broken: [...state.broken, 'changes in between were left out'],
+            violated: [...state.violated, 'changes in between were left out'],
           }
         : state;
     }
@@ -222,7 +222,7 @@
       })),
       sent: [],
       restarts: 0,
-      broken: [],
+      violated: [],
     },
     events: (state, enabled) => [
       ...(state.accepted < bounds.changes ? [{ type: 'accept' }] : []),
@@ -237,6 +237,6 @@
         : []),
     ],
     step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
-    violations: ({ broken }) => broken,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecVoters.ts
+++ b/spec/SpecVoters.ts
@@ -70,7 +70,9 @@
 function setReplica(state: State, id: string, to: Partial<Replica>): State {
   return {
     ...state,
-    replicas: state.replicas.map((known) => (known.id === id ? { ...known, ...to } : known)),
+    replicas: state.replicas.map((current) =>
+      current.id === id ? { ...current, ...to } : current,
+    ),
   };
 }
 
@@ -171,10 +173,10 @@
 /** Removes lost replicas that are no longer members, so that equivalent states are equal. */
 function dropUnusedReplicas(state: State): State {
   const { voters, learners } = state.members;
-  const named = (id: string): boolean => voters.includes(id) || learners.includes(id);
+  const isReferenced = (id: string): boolean => voters.includes(id) || learners.includes(id);
   return {
     ...state,
-    replicas: state.replicas.filter(({ id, status }) => status !== 'gone' || named(id)),
+    replicas: state.replicas.filter(({ id, status }) => status !== 'gone' || isReferenced(id)),
   };
 }
 
@@ -208,13 +210,16 @@
   catchUp: (state, { id = '' }) => setReplica(state, id, { isUpToDate: true }),
   // The minimum for acceptance: only a quorum of voters holds the entry, the others don't yet.
   accept: (state) => {
-    const least = Math.floor(state.members.voters.length / 2) + 1;
+    const quorumSize = Math.floor(state.members.voters.length / 2) + 1;
     const sound = state.members.voters.filter((id) => findReplica(state, id)?.status === 'sound');
-    const holders = new Set([leaderOf(state)?.id ?? '', ...sound].slice(0, least + 1));
-    const quorum = new Set([...holders].slice(0, least));
+    const holders = new Set([leaderOf(state)?.id ?? '', ...sound].slice(0, quorumSize + 1));
+    const quorum = new Set([...holders].slice(0, quorumSize));
     return {
       ...state,
-      replicas: state.replicas.map((known) => ({ ...known, isUpToDate: quorum.has(known.id) })),
+      replicas: state.replicas.map((current) => ({
+        ...current,
+        isUpToDate: quorum.has(current.id),
+      })),
     };
   },
   change: (state, _event, bounds, enabled) => {
