--- a/bench/BenchQuarantine.ts
+++ b/bench/BenchQuarantine.ts
@@ -21,7 +21,7 @@
   [true, false].forEach((isGroup) => {
     IN_PROGRESS.forEach((inProgress) => {
       QUARANTINE_CRASHES.forEach((quarantineCrashes) => {
-        const shape = { endpoints: 12, isGroup, inProgress, fatalRequests: 2, ownEnds: 1 };
+        const shape = { endpoints: 12, isGroup, inProgress, fatalRequests: 2, crashesPerMinute: 1 };
         const outcomes = Array.from({ length: SEEDS }, (_item, i) =>
           simulateQuarantine(shape, quarantineCrashes, seed + i),
         );
--- a/bench/BenchQuarantineModel.ts
+++ b/bench/BenchQuarantineModel.ts
@@ -19,7 +19,7 @@
   /** Number of different requests that crash endpoints. */
   readonly fatalRequests: number;
   /** Crashes per minute, over all endpoints, that no request causes. */
-  readonly ownEnds: number;
+  readonly crashesPerMinute: number;
 }
 
 /** Result of a simulation. */
@@ -79,10 +79,10 @@
 
   readonly #count = { ends: 0, ownEnds: 0, innocent: 0, wronglyHeld: 0, lost: 0 };
 
-  constructor(shape: QuarantineShape, mostEnds: number, seed: number) {
+  constructor(shape: QuarantineShape, quarantineCrashes: number, seed: number) {
     const rng = xoroshiro128plus(seed);
     this.#shape = shape;
-    this.#quarantineCrashes = mostEnds;
+    this.#quarantineCrashes = quarantineCrashes;
     this.#random = () => uniformFloat64(rng);
     this.#running = Array.from({ length: shape.endpoints }, () => []);
     this.#downUntil = Array.from({ length: shape.endpoints }, () => 0);
@@ -97,7 +97,7 @@
   }
 
   #step(now: number): void {
-    const { endpoints, fatalRequests, ownEnds } = this.#shape;
+    const { endpoints, fatalRequests, crashesPerMinute } = this.#shape;
     this.#running.forEach((_items, at) => this.#completeRequests(at, now));
     const due = this.#pendingRetries.filter((item) => item.at <= now);
     this.#pendingRetries = this.#pendingRetries.filter((item) => item.at > now);
@@ -107,14 +107,14 @@
         this.#send({ digest, isFatal: true, retries: 0 }, now),
       );
     }
-    this.#fill(now);
+    this.#startRequests(now);
     this.#running.forEach((items, at) => {
       if (items.some(({ isFatal }) => isFatal)) {
         this.#count.ends += 1;
         this.#crash(at, now);
       }
     });
-    if (this.#random() < (ownEnds * STEP_MS) / 60_000) {
+    if (this.#random() < (crashesPerMinute * STEP_MS) / 60_000) {
       this.#count.ownEnds += 1;
       this.#crash(Math.floor(this.#random() * endpoints), now);
     }
@@ -132,7 +132,7 @@
   }
 
   /** Sends new requests so that each running endpoint has the given number in progress. */
-  #fill(now: number): void {
+  #startRequests(now: number): void {
     this.#running.forEach((items, at) => {
       if (!this.#isUp(at, now)) {
         return;
@@ -187,9 +187,9 @@
   /** Schedules retries of requests that were lost or found no endpoint; drops those without retries left. */
   #scheduleRetries(items: readonly Omit<ModelRequest, 'endAt'>[], from: number): void {
     const innocent = items.filter(({ isFatal }) => !isFatal);
-    const back = innocent.filter(({ retries }) => retries < MAX_RETRIES);
-    this.#count.lost += innocent.length - back.length;
-    const pendingRetries = back.map(({ digest, retries }) => ({
+    const retryable = innocent.filter(({ retries }) => retries < MAX_RETRIES);
+    this.#count.lost += innocent.length - retryable.length;
+    const pendingRetries = retryable.map(({ digest, retries }) => ({
       digest,
       retries: retries + 1,
       at: from + RETRY_WINDOW_MS * this.#random(),
@@ -201,8 +201,8 @@
 /** Simulates two minutes; requests with `quarantineCrashes` crashes are sent to no endpoint. */
 export function simulateQuarantine(
   shape: QuarantineShape,
-  mostEnds: number,
+  quarantineCrashes: number,
   seed: number,
 ): QuarantineOutcome {
-  return new QuarantineModel(shape, mostEnds, seed).run();
+  return new QuarantineModel(shape, quarantineCrashes, seed).run();
 }
--- a/tools/Quickstart.ts
+++ b/tools/Quickstart.ts
@@ -89,7 +89,7 @@
   const { entries } = cluster.addresses;
   const tally = { whole: 0, wrong: 0, lost: 0 };
   let answered = 0;
-  let hasLeft: Promise<number | null> = Promise.resolve(0);
+  let exited: Promise<number | null> = Promise.resolve(0);
   const onResult = (i: number, result: LoadResult): void => {
     tally[result.verdict] += 1;
     answered += 1;
@@ -100,14 +100,14 @@
     }
     if (answered === LEAVE_AFTER_ANSWERS) {
       printLine(`${LEAVING_ENDPOINT} leaves`);
-      hasLeft = cluster.processes.stop(LEAVING_ENDPOINT);
+      exited = cluster.processes.stop(LEAVING_ENDPOINT);
     }
     if (answered % 50 === 0) {
       printLine(`${answered} of ${REQUESTS} answered`);
     }
   };
   await runLoad(entries, REQUESTS, CONCURRENCY, onResult);
-  const code = await hasLeft;
+  const code = await exited;
   printLine(`${LEAVING_ENDPOINT} has left, exit code ${code}`);
   return code === 0 ? tally : { ...tally, lost: tally.lost + 1 };
 }
