--- a/bench/__tests__/unit/BenchPlan.test.ts
+++ b/bench/__tests__/unit/BenchPlan.test.ts
@@ -32,7 +32,7 @@
   };
 }
 
-describe('plans of maps over demand that drifts and shifts', () => {
+describe('map plans under demand that drifts and shifts', () => {
   // The demand on a large group is skewed, and two thirds of it move every eight intervals. A plan must not take as
   // long as one round of a coordinator that has two fifths of a core, since every map would then come late.
   it('plans 63 ranks with 8 sets of 252 experts within a few ms', () => {
--- a/tools/__tests__/unit/UnitResults.test.ts
+++ b/tools/__tests__/unit/UnitResults.test.ts
@@ -24,7 +24,7 @@
 
 const KNOWN = parseKnownFailures('breaks | a real fault | 12\n');
 
-describe('judgeResults', () => {
+describe('evaluateResults', () => {
   it('fails a run with a test that is not known to fail', () => {
     const verdict = evaluateResults(parseResults(TAP), []);
     assert.deepEqual(verdict, { ok: false, lines: ['failed: breaks'] });
