--- a/bench/BenchPlanLoad.ts
+++ b/bench/BenchPlanLoad.ts
@@ -15,7 +15,7 @@
   readonly policy: MapPolicy;
 }
 
-/** Groups from the smallest to the largest deployed, and one of a size planned for the future. */
+/** Groups from the smallest to the largest deployed, and one of the planned size. */
 export const PLAN_SIZES: readonly PlanSize[] = [
   { ranks: 12, experts: 96, sets: 3, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
   { ranks: 16, experts: 128, sets: 4, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
--- a/tools/__tests__/unit/ControlFailure.test.ts
+++ b/tools/__tests__/unit/ControlFailure.test.ts
@@ -82,7 +82,7 @@
     return response.body.json();
   };
 
-  /** Submits a manifest until the outcome is known. */
+  /** Submits a manifest repeatedly until the outcome is known. */
   const submit = async (name: string, text: string): Promise<SubmitReply> => {
     let reply: SubmitReply = { result: 'unavailable', reason: '' };
     await waitUntil('the outcome of a submission', 15_000, async () => {
