--- a/bench/BenchControlProcess.ts
+++ b/bench/BenchControlProcess.ts
@@ -1,4 +1,4 @@
-/** Processes and links of the bench of control's cost. */
+/** Processes and links of the `control-cost` bench. */
 import { connect } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
@@ -10,14 +10,14 @@
 import { makeManifest, makeMember } from './BenchFixtures.js';
 import { readUsage, round } from './BenchReport.js';
 
-/** Where processes of this bench keep their data and logs. */
+/** Folder for the data and logs of the processes of this bench. */
 export const FOLDER = fileURLToPath(new URL('../../.quickstart/control-cost', import.meta.url));
-/** The daemon's program. */
+/** Path of the daemon's program. */
 export const DAEMON = fileURLToPath(new URL('../src/daemon/DaemonMain.js', import.meta.url));
-const IDLE_MS = 6_000;
+const IDLE_WINDOW_MS = 6_000;
 
 /** A control process started by the bench. */
-export interface Control {
+export interface ControlProcess {
   readonly name: string;
   readonly http: string;
   readonly link: string;
@@ -28,7 +28,7 @@
 let runs = 0;
 
 /** Starts the only control process of a cluster. */
-export async function startControl(processes: QuickstartProcesses): Promise<Control> {
+export async function startControl(processes: QuickstartProcesses): Promise<ControlProcess> {
   const [linkPort = 0, httpPort = 0] = await freePorts(2);
   const link = `127.0.0.1:${linkPort}`;
   const http = `127.0.0.1:${httpPort}`;
@@ -43,9 +43,9 @@
   return { name, http, link, port: linkPort, pid: child.pid ?? 0 };
 }
 
-/** Submits a manifest; its log index once it is accepted. */
+/** Submits a manifest; returns its log index. @throws if it isn't accepted. */
 export async function submit(
-  { http }: Control,
+  { http }: ControlProcess,
   customers: number,
   version: number,
 ): Promise<number> {
@@ -55,24 +55,24 @@
   });
   const body = (await response.body.json()) as { result?: string; index?: number };
   if (body.result !== 'accepted') {
-    throw new Error(`not accepted: ${JSON.stringify(body)}`);
+    throw new Error(`manifest not accepted: ${JSON.stringify(body)}`);
   }
   return body.index ?? 0;
 }
 
-/** One attached process, as far as its control process can tell. */
-export interface Attached {
+/** An attached process that is simulated by its link. */
+export interface AttachedProcess {
   readonly link: TransportLink;
   index: number;
   appliedAt: number;
 }
 
-/** Attaches a process that is a link and nothing more. */
-export async function attach(
+/** Attaches a simulated process, which consists of its link only. */
+export async function attachProcess(
   port: number,
   role: 'entry' | 'endpoint',
   i: number,
-): Promise<Attached> {
+): Promise<AttachedProcess> {
   const socket = connect({ host: '127.0.0.1', port });
   await new Promise((resolve) => {
     socket.once('connect', resolve);
@@ -96,24 +96,24 @@
 }
 
 /** Bytes sent and received over all links. */
-export function bytesOf(all: readonly Attached[]): number {
+export function bytesOf(all: readonly AttachedProcess[]): number {
   return all.reduce((sum, { link }) => sum + link.bytes.sent + link.bytes.received, 0);
 }
 
-/** What a process spent. */
-export interface Spent {
+/** Usage of an idle process. */
+export interface IdleCost {
   readonly cpuPercent: number;
   readonly bytesPerSecond: number;
 }
 
-/** Account of a process over some idle time. */
-export async function watchIdle(pid: number, bytes: () => number): Promise<Spent> {
+/** Measures the CPU time of a process and its traffic over the idle window. */
+export async function measureIdle(pid: number, bytes: () => number): Promise<IdleCost> {
   const before = await readUsage(pid);
   const bytesBefore = bytes();
-  await delay(IDLE_MS);
+  await delay(IDLE_WINDOW_MS);
   const after = await readUsage(pid);
   return {
-    cpuPercent: round(((after.cpuMs - before.cpuMs) / IDLE_MS) * 100),
-    bytesPerSecond: round((bytes() - bytesBefore) / (IDLE_MS / 1000)),
+    cpuPercent: round(((after.cpuMs - before.cpuMs) / IDLE_WINDOW_MS) * 100),
+    bytesPerSecond: round((bytes() - bytesBefore) / (IDLE_WINDOW_MS / 1000)),
   };
 }
--- a/bench/BenchOverhead.ts
+++ b/bench/BenchOverhead.ts
@@ -1,4 +1,4 @@
-/** What an entry process and a gate add to a request, against straight to the stand-in. */
+/** Overhead of an entry process and a gate on a request, compared with a direct request to the stand-in. */
 import { fileURLToPath } from 'node:url';
 import { Agent } from 'undici';
 import { QuickstartCluster, waitReady } from '../tools/QuickstartCluster.js';
@@ -19,7 +19,7 @@
 const TOKENS = 1_000;
 const TOKEN_MS = 5;
 
-interface Sent {
+interface RequestTiming {
   readonly ms: number;
   readonly events: number;
   readonly gaps: readonly number[];
@@ -29,7 +29,12 @@
   return chunk.toString('latin1').split('\n\n').length - 1;
 }
 
-async function send(agent: Agent, address: string, tokens: number, stream: boolean): Promise<Sent> {
+async function send(
+  agent: Agent,
+  address: string,
+  tokens: number,
+  stream: boolean,
+): Promise<RequestTiming> {
   const startedAt = performance.now();
   const response = await agent.request({
     origin: `http://${address}`,
@@ -49,7 +54,7 @@
     events += countEvents(chunk as Buffer);
   }
   if (response.statusCode !== 200) {
-    throw new Error(`answer ${response.statusCode}`);
+    throw new Error(`unexpected status ${response.statusCode}`);
   }
   return { ms: performance.now() - startedAt, events, gaps };
 }
@@ -70,12 +75,12 @@
   return parts.flat();
 }
 
-interface Streamed {
+interface StreamTiming {
   readonly eventsPerSecond: number;
   readonly gaps: Readonly<Record<string, number>>;
 }
 
-async function benchStreams(agent: Agent, address: string): Promise<Streamed> {
+async function benchStreams(agent: Agent, address: string): Promise<StreamTiming> {
   const startedAt = performance.now();
   const all = await Promise.all(
     Array.from({ length: STREAMS }, async () => send(agent, address, TOKENS, true)),
@@ -125,7 +130,7 @@
   }
 }
 
-/** Runs the bench. Nothing in it is random; the seed is printed for form's sake. */
+/** Runs the bench. Nothing in it is random; the seed is only printed. */
 export async function benchOverhead(seed: number): Promise<void> {
   await withCluster([1_000, 0, 0], async ({ addresses }, agent) => {
     const direct = quantiles(await benchLatency(agent, addresses.engines['engine-1'] ?? ''));
--- a/bench/BenchPlacementBaselines.ts
+++ b/bench/BenchPlacementBaselines.ts
@@ -1,15 +1,15 @@
-/** Baselines of placement: a static map, and greedy solutions from scratch. */
+/** Baselines for placement: a static map, and a greedy solution from scratch. */
 import type { PlacementMap } from '../src/coordination/index.js';
 
-/** Experts laid out in order, and the spare slots with the experts that follow. */
+/** Places experts in order; spare slots hold copies of the experts that follow. */
 export function staticMap(ranks: number, experts: number, slots: number): PlacementMap {
-  const each = experts / ranks;
+  const expertsPerRank = experts / ranks;
   return Array.from({ length: ranks }, (_rank, rank) =>
-    Array.from({ length: slots }, (_slot, slot) => (rank * each + slot) % experts),
+    Array.from({ length: slots }, (_slot, slot) => (rank * expertsPerRank + slot) % experts),
   );
 }
 
-/** Replicates the hottest expert until all slots are used, then packs by longest first. */
+/** Replicates the expert with the highest load per copy while slots are free, then places copies by descending load. */
 export function solveGreedily(
   load: readonly number[],
   ranks: number,
@@ -31,25 +31,25 @@
     .sort((a, b) => share(b) - share(a));
   const rows: number[][] = Array.from({ length: ranks }, () => []);
   const loads = rows.map(() => 0);
-  const put = (expert: number): void => {
-    const fits = (rank: number, again: boolean): boolean =>
-      (rows[rank]?.length ?? 0) < slots && (again || !rows[rank]?.includes(expert));
-    const open = (again: boolean): number =>
+  const place = (expert: number): void => {
+    const fits = (rank: number, allowDuplicate: boolean): boolean =>
+      (rows[rank]?.length ?? 0) < slots && (allowDuplicate || !rows[rank]?.includes(expert));
+    const leastLoaded = (allowDuplicate: boolean): number =>
       loads.reduce(
         (best, at, rank) =>
-          fits(rank, again) && (best < 0 || at < (loads[best] ?? 0)) ? rank : best,
+          fits(rank, allowDuplicate) && (best < 0 || at < (loads[best] ?? 0)) ? rank : best,
         -1,
       );
-    const chosen = open(false);
-    const rank = chosen < 0 ? open(true) : chosen;
+    const chosen = leastLoaded(false);
+    const rank = chosen < 0 ? leastLoaded(true) : chosen;
     rows[rank]?.push(expert);
     loads[rank] = (loads[rank] ?? 0) + share(expert) / (speeds[rank] ?? 1);
   };
-  items.forEach(put);
+  items.forEach(place);
   return rows;
 }
 
-/** Experts that must be copied to go from one map to another. */
+/** Number of experts that must be copied to change from one map to another. */
 export function countMoves(from: PlacementMap, to: PlacementMap): number {
   return to.reduce(
     (sum, row, rank) => sum + row.filter((expert) => !from[rank]?.includes(expert)).length,
--- a/bench/BenchPlan.ts
+++ b/bench/BenchPlan.ts
@@ -1,4 +1,4 @@
-/** Time of the real plan of a group's expert maps, and what it reaches, over demand that shifts. */
+/** Time and resulting skew of the real planner of a group's expert maps, under demand that shifts. */
 import {
   expectedLoad,
   initDemand,
@@ -6,20 +6,20 @@
   recordCounts,
   type ExpertCounts,
 } from '../src/coordination/index.js';
-import { firstMap, PLAN_SIZES, planLoad, type PlanSize } from './BenchPlanLoad.js';
+import { initialMap, PLAN_SIZES, makeDemand, type PlanSize } from './BenchPlanLoad.js';
 import { quantiles, range, report, round } from './BenchReport.js';
 
 const INTERVALS = 48;
 
 const SEEDS = 3;
 
-/** A plan that takes less off the skew than this is not carried out. */
-const LEAST_GAIN = 0.1;
+/** Minimum reduction of the skew for which a plan is carried out. */
+const MIN_GAIN = 0.1;
 
-/** What the plans of one seed took and reached. */
+/** Times and results of the plans of one seed. */
 export interface PlanRun {
   readonly planMs: readonly number[];
-  /** Times of those plans that are carried out. */
+  /** Times of the plans that are carried out. */
   readonly changeMs: readonly number[];
   readonly skewBefore: readonly number[];
   readonly skewAfter: readonly number[];
@@ -30,13 +30,13 @@
   return totals.map((set, s) => set.map((total, e) => total + (counts[s]?.[e] ?? 0)));
 }
 
-/** Plans a group's maps over demand that drifts and shifts, timed by a clock in ms. */
+/** Plans a group's maps under demand that drifts and shifts; `clock` returns ms. */
 export function runPlans(
   size: PlanSize,
   seed: number,
   clock: () => number = () => performance.now(),
 ): PlanRun {
-  let map = firstMap(size);
+  let map = initialMap(size);
   let totals: ExpertCounts = range(size.sets).map(() => range(size.experts).map(() => 0));
   let demand = recordCounts(initDemand(1), [totals]);
   const planMs: number[] = [];
@@ -44,19 +44,19 @@
   const skewBefore: number[] = [];
   const skewAfter: number[] = [];
   let copies = 0;
-  planLoad(size, INTERVALS, seed).forEach((counts) => {
+  makeDemand(size, INTERVALS, seed).forEach((counts) => {
     totals = add(totals, counts);
     demand = recordCounts(demand, [totals]);
     const weights = expectedLoad(demand) ?? [];
     const startedAt = clock();
     const planned = planMap(map, weights, size.shape, size.policy);
-    const took = clock() - startedAt;
-    planMs.push(took);
-    const isUsed = planned.skewBefore - planned.skewAfter >= LEAST_GAIN;
+    const elapsedMs = clock() - startedAt;
+    planMs.push(elapsedMs);
+    const isUsed = planned.skewBefore - planned.skewAfter >= MIN_GAIN;
     skewBefore.push(planned.skewBefore);
     skewAfter.push(isUsed ? planned.skewAfter : planned.skewBefore);
     copies += isUsed ? planned.copies : 0;
-    changeMs.push(...(isUsed ? [took] : []));
+    changeMs.push(...(isUsed ? [elapsedMs] : []));
     map = isUsed ? planned.map : map;
   });
   return { planMs, changeMs, skewBefore, skewAfter, copies };
@@ -66,7 +66,7 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Runs the bench for each size, from the seed given. */
+/** Runs the bench for each size over three consecutive seeds. */
 export async function benchPlan(seed: number): Promise<void> {
   PLAN_SIZES.forEach((size) => {
     const { ranks, experts, sets, shape } = size;
--- a/bench/BenchPlanLoad.ts
+++ b/bench/BenchPlanLoad.ts
@@ -1,4 +1,4 @@
-/** Demand on a group's experts that drifts, is skewed and shifts, made from a seed. */
+/** Skewed demand on a group's experts that drifts and shifts, generated from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
@@ -15,7 +15,7 @@
   readonly policy: MapPolicy;
 }
 
-/** Groups from the smallest to the largest deployed, and one of the size that is planned for. */
+/** Groups from the smallest to the largest deployed, and one of the planned size. */
 export const PLAN_SIZES: readonly PlanSize[] = [
   { ranks: 12, experts: 96, sets: 3, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
   { ranks: 16, experts: 128, sets: 4, shape: { slotsPerRank: 11, maxNewExperts: 4 } },
@@ -28,8 +28,8 @@
   policy: { maxCopiesPerRank: size.shape.maxNewExperts * size.sets, gainPerCopy: 0.004 },
 }));
 
-/** Experts in turn over the ranks, each once. */
-export function firstMap({ ranks, experts, sets }: PlanSize): GroupMap {
+/** A map that distributes the experts round-robin over the ranks, each once. */
+export function initialMap({ ranks, experts, sets }: PlanSize): GroupMap {
   return range(sets).map(() =>
     range(ranks).map((rank) =>
       range(Math.ceil(experts / ranks))
@@ -40,21 +40,21 @@
 }
 
 /** Intervals from one shift to the next. */
-const SHIFT_EVERY = 8;
+const SHIFT_INTERVALS = 8;
 
-/** Part of the demand that a shift moves to other experts. */
-const SHIFTED = 0.65;
+/** Share of the demand that a shift moves to other experts. */
+const SHIFTED_SHARE = 0.65;
 
-/** Spread of one interval's change of an expert's demand. */
+/** Maximum change of an expert's log demand in one interval. */
 const DRIFT = 0.05;
 
-/** Choices of one set and interval, over all experts. */
+/** Number of choices of one set in one interval, over all experts. */
 const CHOICES = 20_000;
 
-/** Exponent of the demand by rank of popularity. */
+/** Zipf exponent of the demand by popularity. */
 const EXPONENT = 0.8;
 
-function topic(experts: number, rng: RandomGenerator): readonly number[] {
+function drawPopularity(experts: number, rng: RandomGenerator): readonly number[] {
   const keyed = range(experts).map((expert) => ({ expert, key: uniformFloat64(rng) }));
   const weights = range(experts).map(() => 0);
   keyed
@@ -65,8 +65,8 @@
   return weights;
 }
 
-/** Choices of one interval; the noise has the spread of counts. */
-function count(weights: readonly number[], rng: RandomGenerator): readonly number[] {
+/** Choices of one interval; the noise has the variance of Poisson counts. */
+function drawCounts(weights: readonly number[], rng: RandomGenerator): readonly number[] {
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => {
     const expected = (weight / total) * CHOICES;
@@ -76,22 +76,22 @@
 }
 
 /** Choices of each interval, by set and expert. */
-export function planLoad(
+export function makeDemand(
   { experts, sets }: PlanSize,
   intervals: number,
   seed: number,
 ): readonly (readonly (readonly number[])[])[] {
   const rng = xoroshiro128plus(seed);
-  let demand = range(sets).map(() => topic(experts, rng));
+  let demand = range(sets).map(() => drawPopularity(experts, rng));
   return range(intervals).map((t) => {
-    const shifts = t > 0 && t % SHIFT_EVERY === 0;
+    const shifts = t > 0 && t % SHIFT_INTERVALS === 0;
     demand = demand.map((weights) => {
-      const next = shifts ? topic(experts, rng) : weights;
+      const next = shifts ? drawPopularity(experts, rng) : weights;
       return weights.map((weight, e) => {
-        const moved = (1 - SHIFTED) * weight + SHIFTED * (next[e] ?? 0);
+        const moved = (1 - SHIFTED_SHARE) * weight + SHIFTED_SHARE * (next[e] ?? 0);
         return moved * Math.exp(DRIFT * (uniformFloat64(rng) * 2 - 1));
       });
     });
-    return demand.map((weights) => count(weights, rng));
+    return demand.map((weights) => drawCounts(weights, rng));
   });
 }
--- a/bench/BenchRoutingModel.ts
+++ b/bench/BenchRoutingModel.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of entry hosts before the ranks of groups: requests come at random, reports of load are
- * taken every quarter of a second and arrive late, and each host knows at once only what it sent itself.
+ * A small model of entry hosts that route to the ranks of groups: requests arrive at random, load reports are
+ * taken every quarter of a second and arrive late, and each host knows at once only what it has sent itself.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -13,7 +13,7 @@
 import type { EngineCosts } from '../src/protocol/index.js';
 import { range } from './BenchReport.js';
 
-/** How an entry host chooses a rank's endpoint; null where it finds none. */
+/** Chooses the endpoint of a rank for an entry host; null if it finds none. */
 export type RoutingPolicy = (
   groups: readonly GroupSlots[],
   own: ReadonlyMap<string, number>,
@@ -27,28 +27,28 @@
   readonly groups: number;
   readonly ranks: number;
   readonly slots: number;
-  /** Requests a second over all hosts. */
+  /** Requests per second over all hosts. */
   readonly rate: number;
 }
 
-/** What a policy came to. */
-export interface RoutingFigures {
-  /** Fullest over mean rank, averaged over time. */
+/** Result of a policy. */
+export interface RoutingOutcome {
+  /** Requests at the fullest rank over the mean of all ranks, averaged over time. */
   readonly maxOverMean: number;
-  /** Part of the requests that met a rank without a free slot. */
+  /** Share of the requests that were sent to a rank without a free slot. */
   readonly queued: number;
-  /** Part of the requests that went to another AZ. */
+  /** Share of the requests that were sent to another AZ. */
   readonly remote: number;
 }
 
 const ZONES = 3;
 const STEP_MS = 5;
-const REPORT_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 const REPORT_LAG_MS = 150;
-const SETTLED_MS = 5_000;
-const LENGTH_MS = 30_000;
+const WARMUP_MS = 5_000;
+const DURATION_MS = 30_000;
 
-/** Mean time that a request runs: 23 events, 70 ms apart; it varies from 0.3 to 1.7 of that. */
+/** Mean duration of a request: 23 events, 70 ms apart; durations vary from 0.3 to 1.7 times that. */
 const RUN_MS = 1_600;
 
 const COSTS: Omit<EngineCosts, 'slots'> = {
@@ -74,7 +74,7 @@
   readonly own: Map<string, number>;
 }
 
-interface Running {
+interface RunningRequest {
   readonly until: number;
   readonly host: Host;
   readonly endpoint: string;
@@ -101,13 +101,13 @@
 
   readonly #random: () => number;
 
-  readonly #rules: SlotParameters;
+  readonly #parameters: SlotParameters;
 
   readonly #hosts: readonly Host[];
 
   readonly #active = new Map<string, number>();
 
-  #running: readonly Running[] = [];
+  #running: readonly RunningRequest[] = [];
 
   #snapshots: readonly Snapshot[] = [];
 
@@ -123,7 +123,7 @@
     this.#policy = policy;
     this.#random = () => uniformFloat64(rng);
     const costs = { ...COSTS, slots: shape.slots };
-    this.#rules = { costs, pauseMs: 120, entryHosts: shape.hosts };
+    this.#parameters = { costs, pauseMs: 120, entryHosts: shape.hosts };
     const groups = range(shape.groups).map((group) =>
       initGroupSlots(
         `${group}`,
@@ -132,10 +132,10 @@
           rank,
           zone: `z${rank % ZONES}`,
         })),
-        this.#rules,
+        this.#parameters,
       ),
     );
-    // Callers are bound to hosts by a hash, so that some get three times what others get.
+    // Callers are assigned to hosts by a hash, so that some hosts get up to three times the load of others.
     this.#hosts = range(shape.hosts).map((host) => ({
       groups,
       zone: `z${host % ZONES}`,
@@ -144,13 +144,13 @@
     }));
   }
 
-  run(): RoutingFigures {
+  run(): RoutingOutcome {
     const samples: number[] = [];
-    for (let now = 0; now < LENGTH_MS; now += STEP_MS) {
-      this.#end(now);
+    for (let now = 0; now < DURATION_MS; now += STEP_MS) {
+      this.#completeRequests(now);
       this.#report(now);
       this.#arrive(now);
-      if (now > SETTLED_MS) {
+      if (now > WARMUP_MS) {
         samples.push(this.#maxOverMean());
       }
     }
@@ -168,7 +168,7 @@
     return mean === 0 ? 1 : Math.max(...all) / mean;
   }
 
-  #end(now: number): void {
+  #completeRequests(now: number): void {
     this.#running = this.#running.filter(({ until, host, endpoint }) => {
       if (until > now) {
         return true;
@@ -180,7 +180,7 @@
   }
 
   #report(now: number): void {
-    if (now % REPORT_MS === 0) {
+    if (now % REPORT_INTERVAL_MS === 0) {
       this.#snapshots = [...this.#snapshots, { at: now, active: new Map(this.#active) }];
     }
     const [oldest] = this.#snapshots;
@@ -203,7 +203,7 @@
           passMs: 70,
           skew: 1.2,
         };
-        return applyGroupLoad(state, load, host.own, this.#rules, now, this.#random());
+        return applyGroupLoad(state, load, host.own, this.#parameters, now, this.#random());
       });
     });
   }
@@ -242,16 +242,16 @@
   }
 }
 
-/** Plays a policy on a shape. */
-export function playRouting(
+/** Simulates a policy on a deployment. */
+export function simulateRouting(
   shape: RoutingShape,
   policy: RoutingPolicy,
   seed: number,
-): RoutingFigures {
+): RoutingOutcome {
   return new RoutingModel(shape, policy, seed).run();
 }
 
-/** Deployments that are looked at: today's two sizes. */
+/** Simulated deployments: the two sizes in use. */
 export const ROUTING_SHAPES: Readonly<Record<string, RoutingShape>> = {
   '6 hosts, 12 ranks': { hosts: 6, groups: 1, ranks: 12, slots: 8, rate: 45 },
   '31 hosts, 72 ranks': { hosts: 31, groups: 3, ranks: 24, slots: 7, rate: 207 },
--- a/spec/SpecExplorer.ts
+++ b/spec/SpecExplorer.ts
@@ -1,12 +1,12 @@
-/** Explores every state of a specification, by xstate's `getAdjacencyMap`. */
+/** Explores every reachable state of a specification with xstate's `getAdjacencyMap`. */
 import { fromTransition, type AnyActorLogic } from 'xstate';
 import { getAdjacencyMap } from 'xstate/graph';
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
-/** More states than this are a mistake in a specification's bounds. */
+/** Limit on the number of states; a specification that exceeds it has wrong bounds. */
 const STATE_LIMIT = 3_000_000;
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration {
   readonly states: number;
   readonly transitions: number;
@@ -21,7 +21,7 @@
   return [type, ...details].join(' ');
 }
 
-/** How a state was first reached. */
+/** The state and event from which a state was first reached. */
 interface Origin {
   readonly from: string;
   readonly event: SpecEvent;
@@ -33,17 +33,20 @@
 }
 
 /**
- * Visits all states and checks the invariants in each. The library goes breadth first, so the first
- * violation found has the shortest trace; nothing is gone beyond then.
+ * Visits all states and checks the invariants in each. The library searches breadth first, so the first
+ * violation found has the shortest trace; the search stops there.
  */
-export function exploreSpec<S, E extends SpecEvent>(spec: Spec<S, E>, on: Safeguards): Exploration {
+export function exploreSpec<S, E extends SpecEvent>(
+  spec: Spec<S, E>,
+  enabled: Safeguards,
+): Exploration {
   const startedAt = performance.now();
   const origins = new Map<string, Origin>();
-  const known = new Set([JSON.stringify(spec.init)]);
+  const visited = new Set([JSON.stringify(spec.init)]);
   let transitions = 0;
   let violated: readonly string[] = spec.violations(spec.init);
   let violation: string | null = null;
-  const listNews = ({ context }: { readonly context: S }): readonly E[] => {
+  const listUnvisited = ({ context }: { readonly context: S }): readonly E[] => {
     const from = JSON.stringify(context);
     if (violation === null && violated.length === 0) {
       violated = spec.violations(context);
@@ -52,21 +55,21 @@
     if (violation !== null) {
       return [];
     }
-    // Only events that lead to states not met yet are handed on, so that the queue stays short.
-    return spec.events(context, on).filter((event) => {
+    // Only events that lead to unvisited states are returned, which keeps the library's queue short.
+    return spec.events(context, enabled).filter((event) => {
       transitions += 1;
-      const next = JSON.stringify(spec.step(context, event, on));
-      if (known.has(next)) {
+      const next = JSON.stringify(spec.step(context, event, enabled));
+      if (visited.has(next)) {
         return false;
       }
-      known.add(next);
+      visited.add(next);
       origins.set(next, { from, event });
       return true;
     });
   };
-  const logic = fromTransition((state: S, event: E) => spec.step(state, event, on), spec.init);
+  const logic = fromTransition((state: S, event: E) => spec.step(state, event, enabled), spec.init);
   const graph = getAdjacencyMap(logic as unknown as AnyActorLogic, {
-    events: listNews as never,
+    events: listUnvisited as never,
     serializeState: ((snapshot: { readonly context: S }) =>
       JSON.stringify(snapshot.context)) as never,
     limit: STATE_LIMIT,
@@ -80,7 +83,7 @@
   };
 }
 
-/** All safeguards on, but those named. */
+/** Enables all safeguards except those named. */
 export function safeguardsWithout(
   spec: { readonly safeguards: readonly string[] },
   off: readonly string[] = [],
--- a/spec/SpecLease.ts
+++ b/spec/SpecLease.ts
@@ -1,13 +1,13 @@
 /**
- * Specification of a group's lease: the log grants it with rising tokens, holders freeze, wake and end,
- * orders are late, and the gate in front of an engine restarts. The engine ignores tokens.
+ * Specification of a group's lease: the log grants it with increasing tokens, holders freeze, resume and
+ * crash, orders are delayed, and the gate in front of an engine restarts. The engine itself ignores tokens.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
 interface Holder {
-  /** Token under which it believes to hold the lease; 0 for none. */
+  /** Token under which it believes that it holds the lease; 0 for none. */
   readonly token: number;
-  /** Whether its lease has run out by its own clock, which it learns when it looks. */
+  /** Whether its lease has expired by its own clock; it notices this only when it checks. */
   readonly expired: boolean;
 }
 
@@ -15,16 +15,16 @@
   /** Newest token granted by the log. */
   readonly granted: number;
   readonly holders: readonly Holder[];
-  /** Orders on their way to the gate, by token. */
+  /** Tokens of the orders in flight to the gate. */
   readonly toGate: readonly number[];
-  /** Orders that the gate has passed on, on their way to the engine. */
+  /** Tokens of the orders that the gate has forwarded and that are in flight to the engine. */
   readonly toEngine: readonly number[];
-  /** Highest token that the gate knows; -1 while it has restarted and not learned it again. */
-  readonly highest: number;
-  /** Token of the newest order that the engine has carried out. */
-  readonly done: number;
+  /** Highest token that the gate has seen; -1 after a restart, until it has read the token again. */
+  readonly highestToken: number;
+  /** Highest token of the orders that the engine has executed. */
+  readonly executedToken: number;
   readonly restarts: number;
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -50,7 +50,7 @@
 function setHolder(state: State, i: number, change: Partial<Holder>): State {
   return {
     ...state,
-    holders: state.holders.map((known, j) => (j === i ? { ...known, ...change } : known)),
+    holders: state.holders.map((current, j) => (j === i ? { ...current, ...change } : current)),
   };
 }
 
@@ -63,27 +63,31 @@
   return [...new Set([...tokens, token])].sort((a, b) => a - b);
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
   grant: (state, { i = 0 }) => {
     const token = state.granted + 1;
-    // Two who may use the lease at once by their own clocks: the log must never allow that.
-    const both = state.holders.some((known, j) => j !== i && known.token > 0 && !known.expired);
-    const broken = both ? [...state.broken, 'two holders whose leases both run'] : state.broken;
-    return { ...setHolder(state, i, { token, expired: false }), granted: token, broken };
+    // The log must never allow two holders whose leases are both valid by their own clocks.
+    const overlaps = state.holders.some(
+      (current, j) => j !== i && current.token > 0 && !current.expired,
+    );
+    const violated = overlaps
+      ? [...state.violated, 'two holders whose leases both run']
+      : state.violated;
+    return { ...setHolder(state, i, { token, expired: false }), granted: token, violated };
   },
   expire: (state, { i = 0 }) => setHolder(state, i, { expired: true }),
   notice: (state, { i = 0 }) => setHolder(state, i, { token: 0 }),
-  /** Its process ends, and its host says so: what it sent is still on its way, and the lease is free. */
+  /** Its process ends and its host reports that: the lease is free, but orders it sent are still in flight. */
   end: (state, { i = 0 }) => setHolder(state, i, { token: 0, expired: false }),
-  /** It looked before it froze; it wakes and sends, though the lease has run out meanwhile. */
+  /** Sends an order. It may have checked its lease before it froze, so the lease may have expired since. */
   order: (state, { i = 0 }) => ({
     ...state,
     toGate: add(state.toGate, state.holders[i]?.token ?? 0),
   }),
-  pass: (state, { token = 0 }, on) => {
-    const stale = token < state.highest && on['compare tokens at the gate'] !== false;
+  pass: (state, { token = 0 }, enabled) => {
+    const stale = token < state.highestToken && enabled['compare tokens at the gate'] !== false;
     const toGate = removeOne(state.toGate, token);
     if (stale) {
       return { ...state, toGate };
@@ -92,33 +96,33 @@
       ...state,
       toGate,
       toEngine: add(state.toEngine, token),
-      highest: Math.max(state.highest, token),
+      highestToken: Math.max(state.highestToken, token),
     };
   },
   drop: (state, { token = 0 }) => ({ ...state, toEngine: removeOne(state.toEngine, token) }),
   carryOut: (state, { token = 0 }) => ({
     ...state,
     toEngine: removeOne(state.toEngine, token),
-    done: Math.max(state.done, token),
-    broken:
-      token < state.done
-        ? [...state.broken, 'an old order was carried out after a newer one']
-        : state.broken,
+    executedToken: Math.max(state.executedToken, token),
+    violated:
+      token < state.executedToken
+        ? [...state.violated, 'an old order was carried out after a newer one']
+        : state.violated,
   }),
-  restartGate: (state) => ({ ...state, highest: -1, restarts: state.restarts + 1 }),
-  learn: (state) => ({ ...state, highest: Math.max(state.highest, state.granted) }),
+  restartGate: (state) => ({ ...state, highestToken: -1, restarts: state.restarts + 1 }),
+  learn: (state) => ({ ...state, highestToken: Math.max(state.highestToken, state.granted) }),
 };
 
-function gateEvents(state: State, on: Safeguards): readonly Event[] {
-  const learned =
-    state.highest >= 0 || on['learn the token from a quorum after a restart'] === false;
-  // A newer owner's order waits until none of an older one can still be on its way to the engine.
-  const clear = (token: number): boolean =>
-    on['wait out orders on their way to the engine'] === false ||
+function gateEvents(state: State, enabled: Safeguards): readonly Event[] {
+  const knowsToken =
+    state.highestToken >= 0 || enabled['learn the token from a quorum after a restart'] === false;
+  // An order of a newer holder waits until no order of an older holder is still in flight to the engine.
+  const mayPass = (token: number): boolean =>
+    enabled['wait out orders on their way to the engine'] === false ||
     state.toEngine.every((other) => other >= token);
   return [
-    ...(learned
-      ? state.toGate.filter(clear).map((token) => ({ type: 'pass', token }))
+    ...(knowsToken
+      ? state.toGate.filter(mayPass).map((token) => ({ type: 'pass', token }))
       : [{ type: 'learn' }]),
     ...state.toEngine.flatMap((token) => [
       { type: 'carryOut', token },
@@ -131,13 +135,15 @@
   state: State,
   i: number,
   bounds: LeaseBounds,
-  on: Safeguards,
+  enabled: Safeguards,
 ): readonly Event[] {
   const { token, expired } = state.holders[i] ?? { token: 0, expired: false };
-  const free = state.holders.every((known, j) => j === i || known.token === 0 || known.expired);
-  const mayAsk = free || on['grant only after the lease ran out'] === false;
+  const free = state.holders.every(
+    (current, j) => j === i || current.token === 0 || current.expired,
+  );
+  const mayGrant = free || enabled['grant only after the lease ran out'] === false;
   return [
-    ...(token === 0 && mayAsk && state.granted < bounds.grants ? [{ type: 'grant', i }] : []),
+    ...(token === 0 && mayGrant && state.granted < bounds.grants ? [{ type: 'grant', i }] : []),
     ...(token > 0 && !expired ? [{ type: 'expire', i }] : []),
     ...(token > 0 && expired ? [{ type: 'notice', i }] : []),
     ...(token > 0 ? [{ type: 'end', i }] : []),
@@ -145,7 +151,7 @@
   ];
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds. */
 export function makeLeaseSpec(bounds: LeaseBounds): Spec<State, Event> {
   return {
     name: 'lease, fencing and restart of the gate',
@@ -156,17 +162,17 @@
       holders: Array.from({ length: HOLDERS }, () => ({ token: 0, expired: false })),
       toGate: [],
       toEngine: [],
-      highest: 0,
-      done: 0,
+      highestToken: 0,
+      executedToken: 0,
       restarts: 0,
-      broken: [],
+      violated: [],
     },
-    events: (state, on) => [
-      ...state.holders.flatMap((_holder, i) => holderEvents(state, i, bounds, on)),
-      ...gateEvents(state, on),
+    events: (state, enabled) => [
+      ...state.holders.flatMap((_holder, i) => holderEvents(state, i, bounds, enabled)),
+      ...gateEvents(state, enabled),
       ...(state.restarts < bounds.restarts ? [{ type: 'restartGate' }] : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
-    violations: ({ broken }) => broken,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecMapChange.ts
+++ b/spec/SpecMapChange.ts
@@ -1,22 +1,23 @@
 /**
- * Specification of a map change over the ranks of a group, by a coordinator and the one that
- * replaces it while the first still lives.
+ * Specification of a map change over the ranks of a group, by a coordinator and a second one that
+ * replaces it while the first is still running.
  *
- * Orders once sent may arrive at any later time, as often as they like, or never; so may answers.
- * Ranks are alike, so states that differ only in their order are one.
+ * An order that was sent may arrive at any later time, any number of times, or never; so may an answer.
+ * Ranks are interchangeable, so states that differ only in the order of ranks count as one.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
+/** State of a rank. Names are short since states serve as keys. */
 interface Rank {
   /** Highest token seen. */
   readonly h: number;
-  /** Version in use; prepared, armed and committed version, 0 for none. */
+  /** Map version in use `v`, and the prepared `p`, armed `a` and committed `c` version, each 0 for none. */
   readonly v: number;
   readonly p: number;
   readonly a: number;
   readonly c: number;
-  /** Answers given, `kind.token.version`; to a query with what it told. */
-  readonly said: readonly string[];
+  /** Answers sent, `kind.token.version`; the answer to a query lists `v`, `p`, `a` and `c` instead of the version. */
+  readonly answers: readonly string[];
 }
 
 interface Coordinator {
@@ -30,9 +31,9 @@
   readonly coordinators: readonly Coordinator[];
   /** Orders sent, `kind.token.version`. */
   readonly sent: readonly string[];
-  /** Versions whose armed step has come. */
+  /** Versions whose armed step has been reached. */
   readonly reached: readonly number[];
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -59,8 +60,8 @@
 
 const FIRST_VERSION = 1;
 
-/** Letter of the order that each phase sends. */
-const ORDERS: Readonly<Record<string, string>> = {
+/** Kind of order that each phase sends. */
+const ORDER_KINDS: Readonly<Record<string, string>> = {
   learning: 'q',
   preparing: 'p',
   arming: 'a',
@@ -75,22 +76,23 @@
     .map(({ rank }) => rank);
 }
 
-function addTo<T>(items: readonly T[], item: T): readonly T[] {
+function insertSorted<T>(items: readonly T[], item: T): readonly T[] {
   return items.includes(item) ? items : [...items, item].sort((a, b) => (a < b ? -1 : 1));
 }
 
-function enter(state: State, i: number, change: Partial<Coordinator>): State {
-  const coordinators = state.coordinators.map((known, j) =>
-    j === i ? { ...known, ...change } : known,
+function enterPhase(state: State, i: number, change: Partial<Coordinator>): State {
+  const coordinators = state.coordinators.map((current, j) =>
+    j === i ? { ...current, ...change } : current,
   );
   const { phase, version } = coordinators[i] ?? { phase: '', version: 0 };
-  const kind = ORDERS[phase];
-  const sent = kind === undefined ? state.sent : addTo(state.sent, `${kind}.${i + 1}.${version}`);
+  const kind = ORDER_KINDS[phase];
+  const sent =
+    kind === undefined ? state.sent : insertSorted(state.sent, `${kind}.${i + 1}.${version}`);
   return { ...state, coordinators, sent };
 }
 
-/** What a rank makes of an order; null if it refuses. */
-function take(rank: Rank, kind: string, version: number, on: Safeguards): Rank | null {
+/** State of a rank after an order; null if it refuses the order. */
+function applyOrder(rank: Rank, kind: string, version: number, enabled: Safeguards): Rank | null {
   const rules: Readonly<Record<string, () => Rank | null>> = {
     q: () => rank,
     p: () => (rank.a === 0 && version > rank.v ? { ...rank, p: version } : null),
@@ -105,8 +107,8 @@
       if (rank.c === version || rank.v >= version) {
         return null;
       }
-      // Only what the abort is about: an older version may be committed and not yet in use.
-      const other = rank.p !== version && on['abort only the version named'] !== false;
+      // Drops only the version that is named: an older one may be committed and not yet in use.
+      const other = rank.p !== version && enabled['abort only the version named'] !== false;
       return other ? rank : { ...rank, p: 0, a: 0 };
     },
   };
@@ -119,88 +121,93 @@
     : `${kind}.${token}.${version}`;
 }
 
-interface Told {
+interface RankState {
   readonly v: number;
   readonly p: number;
   readonly a: number;
   readonly c: number;
 }
 
-/** First answers of all ranks to a query; null while one is missing. */
-function learned(state: State, token: number): readonly Told[] | null {
-  const told = state.ranks.map(({ said }) => said.find((text) => text.startsWith(`q.${token}.`)));
-  if (told.includes(undefined)) {
+/** Each rank's first answer to a query; null while one is missing. */
+function queryAnswers(state: State, token: number): readonly RankState[] | null {
+  const reports = state.ranks.map(({ answers }) =>
+    answers.find((text) => text.startsWith(`q.${token}.`)),
+  );
+  if (reports.includes(undefined)) {
     return null;
   }
-  return told.map((text) => {
+  return reports.map((text) => {
     const [v = 0, p = 0, a = 0, c = 0] = (text ?? '').split('.').slice(2).map(Number);
     return { v, p, a, c };
   });
 }
 
-function afterLearning(state: State, i: number, told: readonly Told[]): State {
-  const newest = Math.max(...told.map(({ v, c }) => Math.max(v, c)));
-  const open = Math.max(...told.map(({ p, a }) => Math.max(p, a)));
-  const attempted = Math.max(newest, open);
-  if (told.some(({ v }) => v < newest)) {
-    return enter(state, i, { phase: 'committing', version: newest, attempted });
+function decideAfterQuery(state: State, i: number, reports: readonly RankState[]): State {
+  const newest = Math.max(...reports.map(({ v, c }) => Math.max(v, c)));
+  const pending = Math.max(...reports.map(({ p, a }) => Math.max(p, a)));
+  const attempted = Math.max(newest, pending);
+  if (reports.some(({ v }) => v < newest)) {
+    return enterPhase(state, i, { phase: 'committing', version: newest, attempted });
   }
-  if (open > newest) {
-    const phase = told.every(({ a }) => a === open) ? 'committing' : 'aborting';
-    return enter(state, i, { phase, version: open, attempted });
+  if (pending > newest) {
+    const phase = reports.every(({ a }) => a === pending) ? 'committing' : 'aborting';
+    return enterPhase(state, i, { phase, version: pending, attempted });
   }
-  return enter(state, i, { phase: 'ready', version: newest, attempted });
+  return enterPhase(state, i, { phase: 'ready', version: newest, attempted });
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
 const STEPS: Readonly<Record<string, Step>> = {
-  replace: (state) => enter(state, 1, { phase: 'learning' }),
-  /** Mutant: acts on what it has heard from some ranks. */
-  learnSome: (state) => enter(state, 1, { phase: 'aborting', version: FIRST_VERSION + 1 }),
-  propose: (state, { i = 0 }, on) => {
+  replace: (state) => enterPhase(state, 1, { phase: 'learning' }),
+  /** Mutant: aborts before all ranks have answered the query. */
+  learnSome: (state) => enterPhase(state, 1, { phase: 'aborting', version: FIRST_VERSION + 1 }),
+  propose: (state, { i = 0 }, enabled) => {
     const { attempted, version } = state.coordinators[i] ?? { attempted: 0, version: 0 };
-    const next = (on['a new version for each attempt'] === false ? version : attempted) + 1;
-    return enter(state, i, { phase: 'preparing', version: next, attempted: next });
+    const next = (enabled['a new version for each attempt'] === false ? version : attempted) + 1;
+    return enterPhase(state, i, { phase: 'preparing', version: next, attempted: next });
   },
-  giveUp: (state, { i = 0 }) => enter(state, i, { phase: 'aborting' }),
-  advance: (state, { i = 0 }, on) => {
+  giveUp: (state, { i = 0 }) => enterPhase(state, i, { phase: 'aborting' }),
+  advance: (state, { i = 0 }, enabled) => {
     const { phase, version } = state.coordinators[i] ?? { phase: '', version: 0 };
-    const told = phase === 'learning' ? learned(state, i + 1) : null;
-    if (told !== null) {
-      return afterLearning(state, i, told);
+    const reports = phase === 'learning' ? queryAnswers(state, i + 1) : null;
+    if (reports !== null) {
+      return decideAfterQuery(state, i, reports);
     }
-    const skip = on['commit only once all are armed'] === false;
+    const commitsEarly = enabled['commit only once all are armed'] === false;
     const next: Readonly<Record<string, Partial<Coordinator>>> = {
       preparing: { phase: 'arming' },
       arming: { phase: 'committing' },
       committing: { phase: 'ready' },
       aborting: { phase: 'ready', version: Math.min(...state.ranks.map(({ v }) => v)) },
     };
-    const armed = enter(state, i, next[phase] ?? {});
-    return skip && phase === 'preparing'
-      ? enter(armed, i, { phase: 'committing', version })
+    const armed = enterPhase(state, i, next[phase] ?? {});
+    return commitsEarly && phase === 'preparing'
+      ? enterPhase(armed, i, { phase: 'committing', version })
       : armed;
   },
-  deliver: (state, { i = 0, order = '' }, on) => {
+  deliver: (state, { i = 0, order = '' }, enabled) => {
     const [kind = '', token = 0, version = 0] = order
       .split('.')
       .map((part, j) => (j === 0 ? part : Number(part))) as [string, number, number];
     const rank = state.ranks[i];
-    const stale = rank === undefined || (token < rank.h && on['refuse old tokens'] !== false);
-    const taken = stale ? null : take(rank, kind, version, on);
-    if (taken === null) {
+    const stale = rank === undefined || (token < rank.h && enabled['refuse old tokens'] !== false);
+    const applied = stale ? null : applyOrder(rank, kind, version, enabled);
+    if (applied === null) {
       return state;
     }
     const next: Rank = {
-      ...taken,
-      h: Math.max(taken.h, token),
-      said: addTo(taken.said, answerOf(taken, kind, token, version)),
+      ...applied,
+      h: Math.max(applied.h, token),
+      answers: insertSorted(applied.answers, answerOf(applied, kind, token, version)),
+    };
+    return {
+      ...state,
+      ranks: sortRanks(state.ranks.map((current, j) => (j === i ? next : current))),
     };
-    return { ...state, ranks: sortRanks(state.ranks.map((known, j) => (j === i ? next : known))) };
   },
-  reach: (state, { version = 0 }) => ({ ...state, reached: addTo(state.reached, version) }),
-  /** One step of the group: those whose step has come and who know go over to the new version. */
+  reach: (state, { version = 0 }) => ({ ...state, reached: insertSorted(state.reached, version) }),
+  /** One step of the group: ranks that know of the commit switch to the new version once its step is reached. */
   step: (state) => {
     const ranks = state.ranks.map((rank) =>
       rank.a !== 0 && rank.c === rank.a && state.reached.includes(rank.a)
@@ -211,12 +218,12 @@
     return {
       ...state,
       ranks: sortRanks(ranks),
-      broken: mixed ? ['ranks used different maps in one step'] : [],
+      violated: mixed ? ['ranks used different maps in one step'] : [],
     };
   },
 };
 
-function sentBy(state: State, i: number, kind: string): number {
+function countSent(state: State, i: number, kind: string): number {
   return state.sent.filter((order) => order.startsWith(`${kind}.${i + 1}.`)).length;
 }
 
@@ -224,36 +231,39 @@
   state: State,
   i: number,
   bounds: MapChangeBounds,
-  on: Safeguards,
+  enabled: Safeguards,
 ): readonly Event[] {
   const { phase, version } = state.coordinators[i] ?? { phase: 'idle', version: 0 };
-  const kind = ORDERS[phase];
+  const kind = ORDER_KINDS[phase];
   const answered =
     phase === 'learning'
-      ? learned(state, i + 1) !== null
-      : state.ranks.every(({ said }) => said.includes(`${kind ?? ''}.${i + 1}.${version}`));
-  const done = sentBy(state, i, 'p');
-  const early = phase === 'preparing' || phase === 'arming';
-  const hasty = phase === 'learning' && on['learn from all ranks before acting'] === false;
+      ? queryAnswers(state, i + 1) !== null
+      : state.ranks.every(({ answers }) => answers.includes(`${kind ?? ''}.${i + 1}.${version}`));
+  const proposed = countSent(state, i, 'p');
+  const mayAbort = phase === 'preparing' || phase === 'arming';
+  const mayActEarly =
+    phase === 'learning' && enabled['learn from all ranks before acting'] === false;
   return [
-    ...(phase === 'ready' && done < (bounds.proposals[i] ?? 0) ? [{ type: 'propose', i }] : []),
+    ...(phase === 'ready' && proposed < (bounds.proposals[i] ?? 0) ? [{ type: 'propose', i }] : []),
     ...(kind !== undefined && answered ? [{ type: 'advance', i }] : []),
-    ...(early ? [{ type: 'giveUp', i }] : []),
-    ...(hasty ? [{ type: 'learnSome' }] : []),
+    ...(mayAbort ? [{ type: 'giveUp', i }] : []),
+    ...(mayActEarly ? [{ type: 'learnSome' }] : []),
   ];
 }
 
-function mayStep(state: State, on: Safeguards): boolean {
-  const waits = state.ranks.some(({ a, c }) => a !== 0 && c !== a && state.reached.includes(a));
-  return !waits || on['an armed rank waits rather than guesses'] === false;
+function mayStep(state: State, enabled: Safeguards): boolean {
+  const hasWaitingRank = state.ranks.some(
+    ({ a, c }) => a !== 0 && c !== a && state.reached.includes(a),
+  );
+  return !hasWaitingRank || enabled['an armed rank waits rather than guesses'] === false;
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds and safeguards. */
 export function makeMapChangeSpec(
   bounds: MapChangeBounds,
   safeguards: readonly string[] = SAFEGUARDS,
 ): Spec<State, Event> {
-  const rank: Rank = { h: 1, v: FIRST_VERSION, p: 0, a: 0, c: 0, said: [] };
+  const rank: Rank = { h: 1, v: FIRST_VERSION, p: 0, a: 0, c: 0, answers: [] };
   return {
     name: 'map change over the ranks of a group',
     bounds: JSON.stringify(bounds),
@@ -266,20 +276,20 @@
       ],
       sent: [],
       reached: [],
-      broken: [],
+      violated: [],
     },
-    events: (state, on) => [
+    events: (state, enabled) => [
       ...(state.coordinators[1]?.phase === 'idle' ? [{ type: 'replace' }] : []),
-      ...state.coordinators.flatMap((_known, i) => coordinatorEvents(state, i, bounds, on)),
+      ...state.coordinators.flatMap((_known, i) => coordinatorEvents(state, i, bounds, enabled)),
       ...state.ranks.flatMap((_rank, i) =>
         state.sent.map((order) => ({ type: 'deliver', i, order })),
       ),
       ...state.ranks
         .filter(({ a }) => a !== 0 && !state.reached.includes(a))
         .map(({ a }) => ({ type: 'reach', version: a })),
-      ...(mayStep(state, on) ? [{ type: 'step' }] : []),
+      ...(mayStep(state, enabled) ? [{ type: 'step' }] : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
-    violations: ({ broken }) => broken,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
+    violations: ({ violated }) => violated,
   };
 }
--- a/spec/SpecRollout.ts
+++ b/spec/SpecRollout.ts
@@ -2,36 +2,37 @@
  * Specification of the rollout of a configuration in one AZ that may be cut off, with restarts of
  * its control process and of two processes attached to it.
  *
- * A configuration is its log index. The quorum accepts 1, 2, …; `hub` is the AZ's control process;
- * processes take deltas from it, or from another AZ's control process while the AZ is not cut off.
- * Any delta ever sent may arrive at any later time, as often as it likes.
+ * A configuration is represented by its log index. The quorum accepts 1, 2, …; the hub is the AZ's control
+ * process. Processes receive deltas from it, or from another AZ's control process while the AZ isn't cut off.
+ * Any delta that was sent may arrive at any later time, any number of times.
  */
 import type { Safeguards, Spec, SpecEvent } from './SpecTypes.js';
 
 interface Process {
-  /** Index it acts on; 0 while it acts on nothing. */
-  readonly acts: number;
-  /** Index that it remembers from before its restart. */
-  readonly remembers: number;
-  /** Whether it is attached to the AZ's control process, so that each can tell the other. */
-  readonly here: boolean;
+  /** Index of the configuration in force at it; 0 for none. */
+  readonly applied: number;
+  /** Index that was last in force, kept across a restart. */
+  readonly remembered: number;
+  /** Whether it is attached to the AZ's control process. */
+  readonly attached: boolean;
 }
 
 interface State {
   /** Newest index accepted by the quorum. */
   readonly accepted: number;
   readonly cut: boolean;
-  /** The control process of the AZ: what its log holds, what it knows to be committed, on disk. */
+  /** Of the AZ's control process: newest index in its log, and newest index that it has served and synced to disk. */
   readonly log: number;
   readonly disk: number;
-  /** What it serves now; 0 while it has just started. */
-  readonly serves: number;
+  /** Index that it serves; 0 after a restart. */
+  readonly served: number;
+  /** Whether it has begun to serve since its start: after a check with the quorum, or while cut off. */
   readonly checked: boolean;
   readonly processes: readonly Process[];
   /** Deltas sent, `from>to`. */
   readonly sent: readonly string[];
   readonly restarts: number;
-  readonly broken: readonly string[];
+  readonly violated: readonly string[];
 }
 
 interface Event extends SpecEvent {
@@ -55,141 +56,153 @@
   'act on nothing remembered',
 ] as const;
 
-/** Newest index in force at the processes attached. */
-function newestActed(state: State): number {
-  return Math.max(0, ...state.processes.map(({ acts, here }) => (here ? acts : 0)));
+/** Newest index in force at the attached processes. */
+function newestApplied(state: State): number {
+  return Math.max(0, ...state.processes.map(({ applied, attached }) => (attached ? applied : 0)));
 }
 
 function setProcess(state: State, i: number, change: Partial<Process>): State {
   return {
     ...state,
-    processes: state.processes.map((known, j) => (j === i ? { ...known, ...change } : known)),
+    processes: state.processes.map((current, j) => (j === i ? { ...current, ...change } : current)),
   };
 }
 
-/** A process takes an index into force; it must never be older than its own. */
-function act(state: State, i: number, index: number): State {
-  const { acts } = state.processes[i] ?? { acts: 0 };
-  const others = newestActed(state);
-  const broken = [
-    ...(index < acts ? ['a process went back to an older configuration'] : []),
-    ...(acts === 0 && index < others && state.cut
+/** Puts an index in force at a process; records a violation if it is older than its own or, in a cut-off AZ, its peers'. */
+function applyIndex(state: State, i: number, index: number): State {
+  const { applied } = state.processes[i] ?? { applied: 0 };
+  const others = newestApplied(state);
+  const violated = [
+    ...(index < applied ? ['a process went back to an older configuration'] : []),
+    ...(applied === 0 && index < others && state.cut
       ? ['a restarted process took an older configuration than its peers hold']
       : []),
   ];
   return {
-    ...setProcess(state, i, { acts: index, remembers: Math.max(index, 0) }),
-    broken: [...state.broken, ...broken],
+    ...setProcess(state, i, { applied: index, remembered: Math.max(index, 0) }),
+    violated: [...state.violated, ...violated],
   };
 }
 
-type Step = (state: State, event: Event, on: Safeguards) => State;
+type Step = (state: State, event: Event, enabled: Safeguards) => State;
 
-function serve(state: State, index: number, on: Safeguards): State {
-  const synced = on['sync what is handed out'] !== false;
-  return { ...state, serves: index, disk: synced ? Math.max(state.disk, index) : state.disk };
+function serveIndex(state: State, index: number, enabled: Safeguards): State {
+  const synced = enabled['sync what is handed out'] !== false;
+  return { ...state, served: index, disk: synced ? Math.max(state.disk, index) : state.disk };
 }
 
 const STEPS: Readonly<Record<string, Step>> = {
   accept: (state) => ({ ...state, accepted: state.accepted + 1 }),
   cut: (state) => ({ ...state, cut: true }),
   heal: (state) => ({ ...state, cut: false }),
-  /** The log reaches the hub, with word of what is committed. */
-  replicate: (state, _event, on) => {
+  /** The log reaches the hub, together with the commit index. */
+  replicate: (state, _event, enabled) => {
     const next = { ...state, log: state.accepted };
-    return state.checked ? serve(next, state.accepted, on) : next;
+    return state.checked ? serveIndex(next, state.accepted, enabled) : next;
   },
   /** A quorum confirms the hub's log. */
-  check: (state, _event, on) => serve({ ...state, checked: true }, state.accepted, on),
-  /** Cut off from the quorum, it serves the newest of its disk and of those attached. */
-  serveCutOff: (state, _event, on) => {
-    const learned = on['learn from those attached when cut off'] === false ? 0 : newestActed(state);
-    return serve({ ...state, checked: true }, Math.max(state.disk, learned), on);
+  check: (state, _event, enabled) =>
+    serveIndex({ ...state, checked: true }, state.accepted, enabled),
+  /** While cut off from the quorum, the hub serves the newest index of its disk and of the attached processes. */
+  serveCutOff: (state, _event, enabled) => {
+    const newestAttached =
+      enabled['learn from those attached when cut off'] === false ? 0 : newestApplied(state);
+    return serveIndex({ ...state, checked: true }, Math.max(state.disk, newestAttached), enabled);
   },
-  serveUnchecked: (state, _event, on) => serve({ ...state, checked: true }, state.disk, on),
+  serveUnchecked: (state, _event, enabled) =>
+    serveIndex({ ...state, checked: true }, state.disk, enabled),
   restartHub: (state) => ({
     ...state,
-    processes: state.processes.map((known) => ({ ...known, here: false })),
-    serves: 0,
+    processes: state.processes.map((current) => ({ ...current, attached: false })),
+    served: 0,
     checked: false,
     restarts: state.restarts + 1,
   }),
   restart: (state, { i = 0 }) => ({
-    ...setProcess(state, i, { acts: 0, here: false }),
+    ...setProcess(state, i, { applied: 0, attached: false }),
     restarts: state.restarts + 1,
   }),
-  /** A process attaches, and tells what it holds; the hub learns it before it serves on. */
-  attach: (state, { i = 0 }, on) => {
-    const next = setProcess(state, i, { here: true });
-    const { acts } = state.processes[i] ?? { acts: 0 };
-    const learns = on['learn from those attached when cut off'] !== false;
-    return state.checked && learns && acts > state.serves ? serve(next, acts, on) : next;
+  /** A process attaches and reports its index; the hub adopts a newer one before it continues to serve. */
+  attach: (state, { i = 0 }, enabled) => {
+    const next = setProcess(state, i, { attached: true });
+    const { applied } = state.processes[i] ?? { applied: 0 };
+    const learns = enabled['learn from those attached when cut off'] !== false;
+    return state.checked && learns && applied > state.served
+      ? serveIndex(next, applied, enabled)
+      : next;
   },
-  /** The hub sends a process what it lacks. */
+  /** The hub sends a delta. */
   send: (state, { delta = '' }) => ({
     ...state,
     sent: [...new Set([...state.sent, delta])].sort(),
   }),
-  receive: (state, { i = 0, delta = '' }, on) => {
+  receive: (state, { i = 0, delta = '' }, enabled) => {
     const [from = 0, to = 0] = delta.split('>').map(Number);
-    const { acts } = state.processes[i] ?? { acts: 0 };
-    if (to <= acts && on['drop what is older'] !== false) {
+    const { applied } = state.processes[i] ?? { applied: 0 };
+    if (to <= applied && enabled['drop what is older'] !== false) {
       return state;
     }
-    if (from !== 0 && from !== acts) {
-      return on['no delta over a gap'] === false
-        ? { ...act(state, i, to), broken: [...state.broken, 'changes in between were left out'] }
+    if (from !== 0 && from !== applied) {
+      return enabled['no delta over a gap'] === false
+        ? {
+            ...applyIndex(state, i, to),
+            violated: [...state.violated, 'changes in between were left out'],
+          }
         : state;
     }
-    return act(state, i, to);
+    return applyIndex(state, i, to);
   },
-  /** Attached to another AZ's control process, which is checked. */
+  /** Receives the newest index from another AZ's control process, which has checked with the quorum. */
   fromElsewhere: (state, { i = 0 }) =>
-    act(setProcess(state, i, { here: false }), i, state.accepted),
-  actOnMemory: (state, { i = 0 }) => act(state, i, state.processes[i]?.remembers ?? 0),
+    applyIndex(setProcess(state, i, { attached: false }), i, state.accepted),
+  actOnMemory: (state, { i = 0 }) => applyIndex(state, i, state.processes[i]?.remembered ?? 0),
 };
 
-function hubEvents(state: State, on: Safeguards): readonly Event[] {
-  const { cut, checked, log, accepted, serves } = state;
+function hubEvents(state: State, enabled: Safeguards): readonly Event[] {
+  const { cut, checked, log, accepted, served } = state;
   const replicate = !cut && log < accepted ? [{ type: 'replicate' }] : [];
   const check = !cut && !checked && accepted > 0 ? [{ type: 'check' }] : [];
-  // Assumed: whoever lives attaches again within the time that the hub waits.
-  const allHere = state.processes.every(({ acts, here }) => here || acts === 0);
-  const cutOff = cut && !checked && allHere ? [{ type: 'serveCutOff' }] : [];
+  // Assumption: every running process attaches again while the hub still waits.
+  const allAttached = state.processes.every(({ applied, attached }) => attached || applied === 0);
+  const cutOff = cut && !checked && allAttached ? [{ type: 'serveCutOff' }] : [];
   const unchecked =
-    !checked && on['check with a quorum before serving'] === false
+    !checked && enabled['check with a quorum before serving'] === false
       ? [{ type: 'serveUnchecked' }]
       : [];
   const sends = state.processes
-    .filter(({ acts, here }) => here && acts < serves)
-    .flatMap(({ acts }) => [`0>${serves}`, ...(acts > 0 ? [`${acts}>${serves}`] : [])])
+    .filter(({ applied, attached }) => attached && applied < served)
+    .flatMap(({ applied }) => [`0>${served}`, ...(applied > 0 ? [`${applied}>${served}`] : [])])
     .filter((delta) => !state.sent.includes(delta))
     .map((delta) => ({ type: 'send', delta }));
   return [...replicate, ...check, ...cutOff, ...unchecked, ...sends];
 }
 
-/** A new link carries nothing of the old one: a process that restarted gets what is sent since. */
+/** Deltas of an old link don't arrive on a new one, so a restarted process only gets the hub's current full delta. */
 function mayArrive(state: State, i: number, delta: string): boolean {
   const [from = 0, to = 0] = delta.split('>').map(Number);
-  const { acts, here } = state.processes[i] ?? { acts: 0, here: false };
-  return acts > 0 || (here && from === 0 && to === state.serves && state.checked);
+  const { applied, attached } = state.processes[i] ?? { applied: 0, attached: false };
+  return applied > 0 || (attached && from === 0 && to === state.served && state.checked);
 }
 
-function processEvents(state: State, i: number, on: Safeguards): readonly Event[] {
-  const { acts, remembers, here } = state.processes[i] ?? { acts: 0, remembers: 0, here: false };
+function processEvents(state: State, i: number, enabled: Safeguards): readonly Event[] {
+  const { applied, remembered, attached } = state.processes[i] ?? {
+    applied: 0,
+    remembered: 0,
+    attached: false,
+  };
   const receives = state.sent
     .filter((delta) => mayArrive(state, i, delta))
     .map((delta) => ({ type: 'receive', i, delta }));
-  const elsewhere = !state.cut && state.accepted > acts ? [{ type: 'fromElsewhere', i }] : [];
+  const elsewhere = !state.cut && state.accepted > applied ? [{ type: 'fromElsewhere', i }] : [];
   const memory =
-    acts === 0 && remembers > 0 && on['act on nothing remembered'] === false
+    applied === 0 && remembered > 0 && enabled['act on nothing remembered'] === false
       ? [{ type: 'actOnMemory', i }]
       : [];
-  const attach = here ? [] : [{ type: 'attach', i }];
+  const attach = attached ? [] : [{ type: 'attach', i }];
   return [...receives, ...attach, ...elsewhere, ...memory];
 }
 
-/** Makes the specification within bounds. */
+/** Makes the specification for the given bounds. */
 export function makeRolloutSpec(bounds: RolloutBounds): Spec<State, Event> {
   return {
     name: 'rollout with restarts in an AZ that is cut off',
@@ -200,22 +213,22 @@
       cut: false,
       log: 0,
       disk: 0,
-      serves: 0,
+      served: 0,
       checked: false,
       processes: Array.from({ length: bounds.processes }, () => ({
-        acts: 0,
-        remembers: 0,
-        here: false,
+        applied: 0,
+        remembered: 0,
+        attached: false,
       })),
       sent: [],
       restarts: 0,
-      broken: [],
+      violated: [],
     },
-    events: (state, on) => [
+    events: (state, enabled) => [
       ...(state.accepted < bounds.changes ? [{ type: 'accept' }] : []),
       { type: state.cut ? 'heal' : 'cut' },
-      ...hubEvents(state, on),
-      ...state.processes.flatMap((_process, i) => processEvents(state, i, on)),
+      ...hubEvents(state, enabled),
+      ...state.processes.flatMap((_process, i) => processEvents(state, i, enabled)),
       ...(state.restarts < bounds.restarts
         ? [
             { type: 'restartHub' },
@@ -223,7 +236,7 @@
           ]
         : []),
     ],
-    step: (state, event, on) => STEPS[event.type]?.(state, event, on) ?? state,
-    violations: ({ broken }) => broken,
+    step: (state, event, enabled) => STEPS[event.type]?.(state, event, enabled) ?? state,
+    violations: ({ violated }) => violated,
   };
 }
--- a/tools/QuickstartCluster.ts
+++ b/tools/QuickstartCluster.ts
@@ -1,19 +1,19 @@
-/** A whole system on loopback: three AZs with their control, entry and endpoint processes. */
+/** A whole system on loopback: availability zones with their control, entry and endpoint processes. */
 import { mkdir, rm } from 'node:fs/promises';
 import path from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { ownAddresses, QuickstartProcesses } from './QuickstartProcess.js';
+import { allocateAddresses, QuickstartProcesses } from './QuickstartProcess.js';
 
-/** The built programs, whether this runs from source or from `dist` itself. */
+/** Folder of the built programs, whether this file runs from source or from `dist`. */
 const DIST = fileURLToPath(
   new URL(import.meta.url.includes('/dist/') ? '..' : '../dist', import.meta.url),
 );
 const DAEMON = path.join(DIST, 'src/daemon/DaemonMain.js');
 const FAKE = path.join(DIST, 'fakes/FakeMain.js');
 
-/** One engine or plain service with its endpoint process. */
+/** An engine or plain service with its endpoint process. */
 export interface EndpointSpec {
   readonly id: string;
   readonly zone: string;
@@ -23,27 +23,27 @@
   readonly ranks?: string;
 }
 
-/** What to start. */
+/** Processes to start, and their settings. */
 export interface ClusterSpec {
   readonly folder: string;
   readonly fleet: string;
   readonly zones: readonly string[];
   readonly entriesPerZone: number;
   readonly endpoints: readonly EndpointSpec[];
-  /** Slots, prefill in ms and ms between tokens of the stand-ins. */
+  /** Of each stand-in engine: slots, prefill time in ms, and ms between tokens. */
   readonly engine: readonly [number, number, number];
   readonly logLevel: string;
-  readonly extraControl?: readonly string[];
+  readonly extraControlArgs?: readonly string[];
 }
 
-/** Addresses of what runs, `ip:port` by name. */
+/** Addresses of the running processes, `ip:port`; engines by endpoint id. */
 export interface ClusterAddresses {
   readonly controls: readonly string[];
   readonly entries: readonly string[];
   readonly engines: Readonly<Record<string, string>>;
 }
 
-/** Whether a process says that it is ready. */
+/** Whether a process reports that it is ready. */
 export async function isReady(address: string): Promise<boolean> {
   try {
     const { statusCode, body } = await request(`http://${address}/readyz`);
@@ -54,7 +54,7 @@
   }
 }
 
-/** Waits until a check holds. @throws if it doesn't in time. */
+/** Polls until a check holds. @throws if it doesn't within `limitMs`. */
 export async function waitUntil(
   what: string,
   limitMs: number,
@@ -66,7 +66,7 @@
       return;
     }
     if (performance.now() > until) {
-      throw new Error(`not in time: ${what}`);
+      throw new Error(`timed out waiting for: ${what}`);
     }
     await delay(50);
     await poll();
@@ -74,7 +74,7 @@
   await poll();
 }
 
-/** Waits until processes say that they are ready. */
+/** Waits until all processes report that they are ready. */
 export async function waitReady(addresses: readonly string[], limitMs = 20_000): Promise<void> {
   await Promise.all(
     addresses.map(async (address) =>
@@ -83,7 +83,7 @@
   );
 }
 
-/** The running system. */
+/** Starts and restarts the processes of a cluster. */
 export class QuickstartCluster {
   readonly #spec: ClusterSpec;
 
@@ -107,7 +107,7 @@
   }
 
   /** Name of the control process of a zone. */
-  static controlOf(zone: string): string {
+  static controlName(zone: string): string {
     return `control-${zone}`;
   }
 
@@ -117,31 +117,34 @@
     await rm(folder, { recursive: true, force: true });
     await mkdir(folder, { recursive: true });
     const count = zones.length * (2 + entriesPerZone) + endpoints.length * 2;
-    const addresses = [...ownAddresses(count)];
-    const take = (): string => addresses.pop() ?? '';
-    const links = zones.map((zone) => `${QuickstartCluster.controlOf(zone)}=${take()}`);
+    const addresses = [...allocateAddresses(count)];
+    const takeAddress = (): string => addresses.pop() ?? '';
+    const links = zones.map((zone) => `${QuickstartCluster.controlName(zone)}=${takeAddress()}`);
     const control = links.join(',');
     const controls = zones.map((zone, i) =>
-      this.#startControl(zone, links[i] ?? '', control, take()),
+      this.#startControl(zone, links[i] ?? '', control, takeAddress()),
     );
     const engines = Object.fromEntries(
-      endpoints.map((spec) => [spec.id, this.#startEndpoint(spec, control, take(), take())]),
+      endpoints.map((spec) => [
+        spec.id,
+        this.#startEndpoint(spec, control, takeAddress(), takeAddress()),
+      ]),
     );
     const entries = zones.flatMap((zone) =>
       Array.from({ length: entriesPerZone }, (_item, i) =>
-        this.#startEntry(`entry-${zone}-${i + 1}`, zone, control, take()),
+        this.#startEntry(`entry-${zone}-${i + 1}`, zone, control, takeAddress()),
       ),
     );
     this.#addresses = { controls, entries, engines };
     await waitReady(controls);
   }
 
-  /** Starts a process again as it was first started, with further flags. */
+  /** Starts a process again with its original arguments and further flags. */
   restart(name: string, flags: readonly string[] = []): void {
     this.#processes.start(name, DAEMON, [...(this.#arguments.get(name) ?? []), ...flags]);
   }
 
-  /** Starts the stand-in behind an endpoint again. */
+  /** Starts the stand-in behind an endpoint, again if it has run before. */
   restartFake(id: string): void {
     const name = `fake-${id}`;
     this.#processes.start(name, FAKE, this.#arguments.get(name) ?? []);
@@ -154,13 +157,13 @@
   }
 
   #startControl(zone: string, link: string, control: string, http: string): string {
-    const id = QuickstartCluster.controlOf(zone);
+    const id = QuickstartCluster.controlName(zone);
     const address = link.split('=')[1] ?? '';
     const folder = path.join(this.#spec.folder, 'data', id);
     this.#daemon(id, [
       ...['control', '--id', id, '--zone', zone, '--http', http, '--link', address],
       ...['--control', control, '--data-folder', folder],
-      ...(this.#spec.extraControl ?? []),
+      ...(this.#spec.extraControlArgs ?? []),
     ]);
     return http;
   }
@@ -171,7 +174,7 @@
     this.restartFake(id);
     this.#daemon(id, [
       ...['endpoint', '--id', id, '--zone', zone, '--http', http, '--control', control],
-      ...['--zone-control', QuickstartCluster.controlOf(zone)],
+      ...['--zone-control', QuickstartCluster.controlName(zone)],
       ...['--engine', `http://${engine}`, '--fleet', this.#spec.fleet, '--service', service],
       ...['--slots', String(this.#spec.engine[0])],
       ...(group === undefined || ranks === undefined ? [] : ['--group', group, '--ranks', ranks]),
@@ -182,7 +185,7 @@
   #startEntry(id: string, zone: string, control: string, http: string): string {
     this.#daemon(id, [
       ...['entry', '--id', id, '--zone', zone, '--http', http, '--control', control],
-      ...['--zone-control', QuickstartCluster.controlOf(zone)],
+      ...['--zone-control', QuickstartCluster.controlName(zone)],
     ]);
     return http;
   }
--- a/tools/__tests__/unit/ControlFailure.test.ts
+++ b/tools/__tests__/unit/ControlFailure.test.ts
@@ -1,4 +1,4 @@
-/** Failures of control processes, with real processes over loopback. One system, one test after another. */
+/** Failures of control processes, with real processes over loopback. The tests share one system and run in order. */
 import assert from 'node:assert/strict';
 import { mkdtemp, rm } from 'node:fs/promises';
 import os from 'node:os';
@@ -11,9 +11,9 @@
 import { QuickstartCluster, waitReady, waitUntil } from '../../QuickstartCluster.js';
 
 const ZONES = ['ikeja', 'apapa', 'lekki'] as const;
-const CONTROLS = ZONES.map((zone) => QuickstartCluster.controlOf(zone));
+const CONTROLS = ZONES.map((zone) => QuickstartCluster.controlName(zone));
 
-/** Lines of each process's log that a failure shows. */
+/** Number of lines of each process's log that a failure message includes. */
 const LOG_LINES = 40;
 
 interface ControlRow {
@@ -48,15 +48,16 @@
   let folder = '';
   let version = 0;
 
-  const http = (name: string): string => cluster.addresses.controls[CONTROLS.indexOf(name)] ?? '';
+  const httpAddress = (name: string): string =>
+    cluster.addresses.controls[CONTROLS.indexOf(name)] ?? '';
 
   const status = async (name: string): Promise<Status> => {
-    const response = await request(`http://${http(name)}/v1/status`);
+    const response = await request(`http://${httpAddress(name)}/v1/status`);
     return (await response.body.json()) as Status;
   };
 
-  /** Who is attached where, by each control process's own account, for the message of a failure. */
-  const whoIsWhere = async (): Promise<string> => {
+  /** Processes attached to each control process, as it reports them, for a failure message. */
+  const describeAttachments = async (): Promise<string> => {
     const rows = await Promise.all(
       CONTROLS.map(async (name) => (await status(name)).controls.find((row) => row.name === name)),
     );
@@ -65,23 +66,23 @@
       .join('; ');
   };
 
-  /** Runs a step; a failure tells what each process wrote last, and who was attached where. */
+  /** Runs a step; adds the end of each process's log and the attachments to the message of a failure. */
   const withLogs = async (step: () => Promise<void>): Promise<void> => {
     try {
       await step();
     } catch (err) {
-      const attached = await whoIsWhere().catch((unknown: unknown) => String(unknown));
+      const attached = await describeAttachments().catch((unknown: unknown) => String(unknown));
       const logs = await cluster.processes.readLogs(LOG_LINES);
       throw new Error(`${(err as Error).message}\n${attached}\n${logs}`, { cause: err });
     }
   };
 
   const post = async (name: string, route: string, body: string): Promise<unknown> => {
-    const response = await request(`http://${http(name)}${route}`, { method: 'POST', body });
+    const response = await request(`http://${httpAddress(name)}${route}`, { method: 'POST', body });
     return response.body.json();
   };
 
-  /** Submits until the outcome is known. */
+  /** Submits a manifest repeatedly until the outcome is known. */
   const submit = async (name: string, text: string): Promise<SubmitReply> => {
     let reply: SubmitReply = { result: 'unavailable', reason: '' };
     await waitUntil('the outcome of a submission', 15_000, async () => {
@@ -105,13 +106,13 @@
     return leader;
   };
 
-  const inForce = async (name: string, limitMs = 10_000): Promise<void> =>
+  const waitInForce = async (name: string, limitMs = 10_000): Promise<void> =>
     waitUntil('in force everywhere', limitMs, async () => {
       const { inForce: count, live } = await status(name);
       return count === live && live === ZONES.length * 2;
     });
 
-  /** Sends a call through the entry process of a zone; its answer must be whole. */
+  /** Sends a request through the entry process of a zone; its answer must be complete. */
   const call = async (zone: number): Promise<void> => {
     const response = await request(`http://${cluster.addresses.entries[zone] ?? ''}/lookup/x`, {
       method: 'POST',
@@ -136,14 +137,14 @@
       })),
       engine: [8, 1, 1],
       logLevel: 'info',
-      extraControl: ['--test-switch', 'true', '--compact-every', '64'],
+      extraControlArgs: ['--test-switch', 'true', '--compact-every', '64'],
     });
     await withLogs(async () => {
       await cluster.start();
       version += 1;
       assert.equal((await submit(CONTROLS[0] ?? '', manifest(version))).result, 'accepted');
       await waitReady(cluster.addresses.entries);
-      await inForce(CONTROLS[0] ?? '');
+      await waitInForce(CONTROLS[0] ?? '');
     });
   });
 
@@ -153,10 +154,10 @@
     await rm(folder, { recursive: true });
   });
 
-  // The leader is killed while a submission is under way, and the pipeline never hears back. It
-  // sends the same file to another control process: the outcome is one acceptance, whoever decided
-  // it; other content under that version is a conflict for good, also at the old leader.
-  it('gives a resend one outcome when the leader is killed in the middle', async () =>
+  // The leader is killed during a submission, and the submitter gets no reply. It resends the same manifest to
+  // another control process: the version must be accepted exactly once, whichever process decided it. Other
+  // content under that version must be a conflict from then on, and the old leader must give the same reply.
+  it('gives a resent submission one outcome when the leader is killed', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const other = CONTROLS.find((name) => name !== leader) ?? '';
@@ -169,15 +170,15 @@
       assert.equal(accepted.result, 'accepted');
       assert.equal((await submit(other, manifest(version, 99))).result, 'conflict');
       cluster.restart(leader);
-      await waitReady([http(leader)]);
+      await waitReady([httpAddress(leader)]);
       assert.deepEqual(await submit(leader, manifest(version)), accepted);
-      await inForce(other);
+      await waitInForce(other);
     }));
 
-  // The leader is frozen for longer than an election takes; others accept a change meanwhile. It
-  // wakes and believes that it leads. What a racing pipeline submits to it must meet the acceptance
-  // it slept through, and nobody may get the older configuration back.
-  it('refuses what a leader that slept would accept', async () =>
+  // The leader is frozen for longer than an election takes, and the others accept a change meanwhile. It resumes
+  // in the belief that it leads. A conflicting manifest submitted to it must meet the acceptance that it missed,
+  // and no process may go back to an older configuration.
+  it('refuses a submission at a frozen leader that conflicts with a newer acceptance', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const others = CONTROLS.filter((name) => name !== leader);
@@ -192,13 +193,13 @@
       const settled =
         raced.result === 'unavailable' ? await submit(leader, manifest(version, 500)) : raced;
       assert.equal(settled.result, 'conflict');
-      await inForce(leader);
+      await waitInForce(leader);
     }));
 
-  // A host loses its disk and is repaired with an empty one; right after it is back, a second host
-  // dies. The repaired one must hold the whole log by then, under a new identity, and with the
-  // third be the quorum that accepts the next change.
-  it('goes on when a second host fails right after a first was repaired', async () =>
+  // A host loses its disk and returns with an empty one; as soon as it votes, a second host crashes. The repaired
+  // host must hold the whole log by then, under a new identity, and form the quorum with the third host that
+  // accepts the next change.
+  it('continues when a second host fails right after the first was repaired', async () =>
     withLogs(async () => {
       const [lost = '', second = '', third = ''] = CONTROLS;
       const old = (await status(third)).controls.find(({ name }) => name === lost)?.replica ?? '';
@@ -215,24 +216,24 @@
       version += 1;
       assert.equal((await submit(third, manifest(version))).result, 'accepted');
       cluster.restart(second);
-      await waitReady([http(second)]);
-      await inForce(third);
+      await waitReady([httpAddress(second)]);
+      await waitInForce(third);
     }));
 
-  // An AZ is cut off. The others accept a change; the cut-off AZ goes on serving on what it has.
-  // Its control process and its entry process both restart inside the cut: neither may come back
-  // with an older configuration, and the AZ must serve again. Healed, it takes the change.
-  it('serves on in a cut-off AZ, through two restarts, and never goes back', async () =>
+  // An AZ is cut off. The others accept a change, and the AZ continues to serve with its own configuration. Its
+  // control process and its entry process both restart while it is cut off: neither may return with an older
+  // configuration, and the AZ must serve again. Once the network is restored, it receives the change.
+  it('serves in a cut-off AZ through two restarts without an older configuration', async () =>
     withLogs(async () => {
       const cutOff = CONTROLS[2] ?? '';
       const others = CONTROLS.slice(0, 2);
-      const attachedHere = async (): Promise<boolean> => {
+      const hasBothAttached = async (): Promise<boolean> => {
         const own = (await status(cutOff)).controls.find(({ name }) => name === cutOff);
         return own?.attached.length === 2;
       };
       const allHere = 'all attached to the control process of their AZ';
-      await waitUntil(allHere, 20_000, attachedHere);
-      const held = (await status(cutOff)).configIndex;
+      await waitUntil(allHere, 20_000, hasBothAttached);
+      const indexBefore = (await status(cutOff)).configIndex;
       const cut = JSON.stringify({ peers: [cutOff, 'entry-lekki-1', 'lookup-lekki'] });
       await Promise.all(others.map(async (name) => post(name, '/test/cut', cut)));
       await post(cutOff, '/test/cut', JSON.stringify({ peers: others }));
@@ -244,21 +245,21 @@
       cluster.restart(cutOff, ['--test-cut', others.join(',')]);
       await cluster.processes.stop('entry-lekki-1', 'SIGKILL');
       cluster.restart('entry-lekki-1');
-      await waitReady([http(cutOff), cluster.addresses.entries[2] ?? '']);
+      await waitReady([httpAddress(cutOff), cluster.addresses.entries[2] ?? '']);
       const own = (await status(cutOff)).controls.find(({ name }) => name === cutOff);
-      assert.deepEqual([own?.rollout, own?.configIndex], ['cutOff', held]);
-      await waitUntil('the endpoint is attached again', 20_000, attachedHere);
+      assert.deepEqual([own?.rollout, own?.configIndex], ['cutOff', indexBefore]);
+      await waitUntil('the endpoint is attached again', 20_000, hasBothAttached);
       await call(2);
       const refused = (await post(cutOff, '/v1/manifests', manifest(version + 1))) as SubmitReply;
       assert.equal(refused.result, 'unavailable');
       const heal = JSON.stringify({ peers: [] });
       await Promise.all(CONTROLS.map(async (name) => post(name, '/test/cut', heal)));
-      await inForce(others[0] ?? '', 30_000);
+      await waitInForce(others[0] ?? '', 30_000);
     }));
 
-  // Three hundred changes go by, then every process is killed and started again, as after a power
-  // cut. All must come back with the newest, and a resend of an early version gets its first answer.
-  it('comes back with the newest after 300 changes and a restart of all', async () =>
+  // After 300 changes every process is killed and restarted, as after a power cut. All must return with the newest
+  // configuration, and a resend of an early version must get its original reply.
+  it('restores the newest configuration after 300 changes and a restart of all processes', async () =>
     withLogs(async () => {
       const leader = await findLeader();
       const first = await submit(leader, manifest(version + 1));
@@ -275,7 +276,7 @@
       await Promise.all(daemons.map(async (name) => cluster.processes.stop(name, 'SIGKILL')));
       daemons.forEach((name) => cluster.restart(name));
       await waitReady([...cluster.addresses.controls, ...cluster.addresses.entries]);
-      await inForce(leader, 20_000);
+      await waitInForce(leader, 20_000);
       assert.equal((await status(leader)).configIndex, newest);
       assert.deepEqual(await submit(leader, manifest(version + 1)), first);
       await Promise.all([0, 1, 2].map(call));
