--- a/src/coordination/Admission.ts
+++ b/src/coordination/Admission.ts
@@ -22,7 +22,7 @@
 
 /**
  * One entry process's share of a customer's concurrency limit. Rounded up, so that the shares of all
- * processes never add up to less than the limit.
+ * processes add up to at least the limit.
  */
 export function localLimit(customer: Customer, entryHosts: number): number {
   return Math.max(1, Math.ceil(customer.maxInFlight / Math.max(1, entryHosts)));
--- a/src/coordination/Attempts.ts
+++ b/src/coordination/Attempts.ts
@@ -90,7 +90,7 @@
   readonly outputs: readonly AttemptOutput[];
 }
 
-/** Current time, and the service's retry budget, which the caller of the state machine keeps. */
+/** Current time in ms, and the service's retry budget, which the caller of the state machine keeps. */
 export interface AttemptContext {
   readonly now: number;
   /** Spends one retry of the service's budget; false if none is left. */
@@ -171,13 +171,12 @@
 }
 
 /**
- * Handles an attempt of which it is unknown whether it ran.
+ * Handles a lost attempt, which may or may not have run.
  *
- * When a kept-alive connection dies after the request was written, the endpoint may have run it, or
- * may still read it from a socket buffer and run it later. A call that may not be repeated, such as
- * placing a reorder, could then run twice. It is sent elsewhere only after the gate has confirmed that
- * this attempt was not started and never will be; otherwise the request fails at once with an
- * `unknown` outcome.
+ * When a kept-alive connection closes after the request was written, the endpoint may have run it, or may
+ * still read it from a socket buffer and run it later. A call that may not be repeated, such as placing a
+ * reorder, could then run twice. It is sent elsewhere only after the gate has confirmed that this attempt
+ * was not started and never will be; otherwise the request fails at once with an `unknown` outcome.
  */
 function onLost(state: AttemptState, ctx: AttemptContext): AttemptStep {
   const { endpoint, attempt } = state;
--- a/src/coordination/ConfigFreshness.ts
+++ b/src/coordination/ConfigFreshness.ts
@@ -1,12 +1,12 @@
 /**
- * A lease on "the configuration held here is the newest". An entry process serves requests with a key only
- * while it holds the lease. Otherwise a key that is revoked while the entry process is partitioned or frozen
- * would go on working there.
+ * A lease of an entry process that shows that the configuration which it holds is the newest. Requests with a
+ * key are served only while the lease is valid. Otherwise a key that is revoked while the entry process is
+ * partitioned or frozen would go on working there.
  *
- * The lease counts from when the request was sent that a leader with a fresh quorum answered, and is checked
- * for each request. It is given up when the two clocks of the host disagree on how long ago that was: the
- * monotonic clock stops while a host is suspended, the time of day may be set, and neither shows which of the
- * two has happened.
+ * To renew the lease, the entry process asks for the newest log index, and a leader with a fresh quorum
+ * replies. The lease counts from when that request was sent, and is checked for each request of a caller. It
+ * is invalid when the two clocks of the host disagree on how long ago that was: the monotonic clock stops
+ * while a host is suspended, the time of day may be set, and neither shows which of the two has happened.
  */
 
 /** Both clocks of a host, read together; ms. */
@@ -20,7 +20,10 @@
 export interface FreshnessState {
   /** Log index of the configuration held; 0 for none. */
   readonly heldConfigIndex: number;
-  /** Send time of the newest request whose reply the configuration held satisfies, ms. */
+  /**
+   * Send time of the newest request whose reply named no newer configuration than the one held; null for
+   * none.
+   */
   readonly provenAt: ClockReading | null;
   /** A reply that names a configuration which has not arrived yet, and the send time of its request. */
   readonly pending: { readonly index: number; readonly requestedAt: ClockReading } | null;
@@ -35,7 +38,10 @@
  */
 export const FRESHNESS_LEASE_FRACTION = 0.92;
 
-/** Clocks that differ by more have been set or have stopped; clock adjustment is far slower. In ms. */
+/**
+ * If the times elapsed by the two clocks differ by more, one of the clocks was set or has stopped; clock
+ * adjustment is far slower. In ms.
+ */
 const MAX_CLOCK_DIVERGENCE_MS = 250;
 
 function newerOf(a: ClockReading | null, b: ClockReading): ClockReading {
@@ -56,8 +62,8 @@
 }
 
 /**
- * Records a leader's reply to a request that was sent at `requestedAt`; `newest` is the newest log index, 0
- * for none.
+ * Records a leader's reply to a request that was sent at `requestedAt`; `newest` is the log index of the
+ * newest configuration, 0 for none.
  */
 export function receiveNewestIndex(
   state: FreshnessState,
--- a/src/coordination/ConsensusConstants.ts
+++ b/src/coordination/ConsensusConstants.ts
@@ -10,9 +10,10 @@
 export const ELECTION_TIMEOUT_MS = 800;
 
 /**
- * Delay before a replica asks for pre-votes after its start, or asks again without a reply, plus a random
- * delay of up to as much again. Asking often is safe, since a pre-vote deposes no leader; the delay is longer
- * than the heartbeat interval so that an existing leader is heard first. In ms.
+ * Delay before a replica asks for pre-votes after its start, and before it asks again if it got neither a
+ * quorum nor a refusal, plus a random delay of up to as much again. Asking often is safe, since a pre-vote
+ * deposes no leader; the delay is longer than the heartbeat interval so that an existing leader is heard
+ * first. In ms.
  */
 export const PRE_VOTE_INTERVAL_MS = 200;
 
--- a/src/coordination/ConsensusElection.ts
+++ b/src/coordination/ConsensusElection.ts
@@ -195,9 +195,9 @@
 /**
  * Whether a leader has had no contact with a quorum for two election timeouts.
  *
- * A leader that is partitioned without noticing would otherwise keep accepting submissions that can't be
- * committed, and callers would wait in vain. It steps down by its own clock; receivers refuse what it sends
- * in the meantime, since it carries an old term or token.
+ * A leader that is partitioned without noticing would otherwise keep accepting proposals that can't be
+ * committed, and their callers would wait for a result that never comes. It steps down by its own clock;
+ * receivers refuse what it sends in the meantime, since it carries an old term or token.
  */
 export function hasLostQuorum(state: ConsensusState, now: number): boolean {
   const heard = peersOf(state).filter(
--- a/src/coordination/ConsensusReplication.ts
+++ b/src/coordination/ConsensusReplication.ts
@@ -48,7 +48,7 @@
   };
 }
 
-/** Sends every replica the entries that it lacks, or a heartbeat if it lacks none. */
+/** Sends every other replica the entries that it lacks, or a heartbeat if it lacks none. */
 export function broadcast(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   return {
     state: { ...state, heartbeatAt: ctx.now + HEARTBEAT_MS },
--- a/src/coordination/ConsensusVoters.ts
+++ b/src/coordination/ConsensusVoters.ts
@@ -94,8 +94,8 @@
  * its old id is removed.
  *
  * The successors of lost hosts may be promoted before the lost hosts count as unreachable. Then one of four
- * voters is dead, or two of seven; if as many more disks are lost, no quorum is left and nothing is ever
- * accepted again. Unreachable voters are therefore removed even without a newcomer wherever that makes the
+ * voters is lost, or two of seven; if as many more disks are lost, no quorum is left and no entry can ever be
+ * committed again. Unreachable voters are therefore removed even without a newcomer wherever that makes the
  * quorum smaller, down to the number that the disks that may be lost require.
  *
  * A voter may be partitioned while another's disk is lost and a newcomer is ready. If it were removed to make
--- a/src/coordination/DemandCounts.ts
+++ b/src/coordination/DemandCounts.ts
@@ -8,7 +8,7 @@
  */
 import type { ExpertCounts } from './DemandEstimate.js';
 
-/** Choices since the previous reading, by set and expert: each byte counts in steps of `unit`. */
+/** Choices since the previous reading, by set and expert: the number of choices is the byte times `unit`. */
 export interface PackedCounts {
   readonly unit: number;
   readonly sets: readonly Uint8Array[];
@@ -18,7 +18,7 @@
 
 /**
  * Bytes of counts that a coordinator reads per round. Four rounds a second take 0.13 MB/s, a fifth of the slowest
- * link declared so far; at 1.7 kB a rank they cover 18 of 72 ranks, with some 100 requests in progress.
+ * declared link; at 1.7 kB a rank they cover 18 of 72 ranks, with some 100 requests in progress.
  */
 const MAX_ROUND_BYTES = 32_000;
 
--- a/src/coordination/DemandEstimate.ts
+++ b/src/coordination/DemandEstimate.ts
@@ -99,8 +99,8 @@
 /**
  * Whether the demand of an interval has shifted: its change is far above the average drift. In a large group, a
  * shift of two thirds of the demand changes 0.2 of the choices at once, and requests that start and finish change
- * much less. A shift in the middle of an interval shows by half in each of two, so the interval before the
- * previous one is compared too.
+ * much less. A shift in the middle of an interval appears as two changes of half its size, so the interval before
+ * the previous one is compared too.
  */
 function isShift({ intervals, averageDrift }: DemandState, interval: Interval): boolean {
   const expectedDrift = averageDrift ?? MAX_SHIFT_THRESHOLD;
--- a/src/coordination/DirectAttempts.ts
+++ b/src/coordination/DirectAttempts.ts
@@ -86,9 +86,9 @@
  * Whether a request waits for a slot again.
  *
  * When a rank of a group is lost, all other ranks refuse or drop what they were sent. A second attempt at
- * another rank of the group would be wasted, and the caller would use up its last try by returning while the
- * group is still closed. So the request waits for the group as long as its caller does, as if it had arrived
- * while the group was closed.
+ * another rank of the group would be wasted, and the caller would use up its last retry while the group is
+ * still closed. So the request waits for the group as long as its caller does, as if it had arrived while the
+ * group was closed.
  */
 function mayRequeue(failure: DirectFailure, progress: DirectProgress): boolean {
   const { isServiceDown, responseStarted, mayHaveRun, repeatable, sendCount, maxSends } = progress;
--- a/src/coordination/EndpointCrashes.ts
+++ b/src/coordination/EndpointCrashes.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Whether an update proves that an endpoint has crashed, without announcing that it leaves: its lease
+ * Whether an update proves that an endpoint has crashed, that is, ended without announcing it: its lease
  * expired, its id has a later incarnation, or another endpoint serves at its address. An endpoint that
  * announces its shutdown increases the version of its record.
  */
@@ -72,7 +72,7 @@
       readonly incarnationKey: IncarnationKey;
       readonly result: 'refused' | 'open' | 'unknown';
     }
-  /** Report that an incarnation has crashed, without announcing that it leaves. */
+  /** Report that an incarnation has ended without announcing it. */
   | { readonly type: 'ended'; readonly incarnationKey: IncarnationKey }
   | { readonly type: 'tick' };
 
@@ -155,8 +155,8 @@
  * Drops losses from before a probe that the endpoint accepted: since it still listens, it has not crashed.
  *
  * Requests are also lost when one rank of a group crashes and all others drop their work, or when a
- * connection is reset. Without this check they would count as having crashed an endpoint, and be refused for
- * it. Requests lost while the probe ran are probed for again.
+ * connection is reset. Without this check they would count as the cause of a crash and be refused. For
+ * requests lost while the probe ran, the endpoint is probed again.
  */
 function onOpen(
   state: EndpointCrashesState,
--- a/src/coordination/EndpointRefusals.ts
+++ b/src/coordination/EndpointRefusals.ts
@@ -13,7 +13,7 @@
 /** A refusal this long after the last one counts as the first again, ms. */
 const REFUSAL_TTL_MS = 2_000;
 
-/** Consecutive refusals of one endpoint. */
+/** Consecutive refusals by one endpoint. */
 export interface EndpointRefusal {
   readonly count: number;
   /** Time of the last counted refusal, ms. */
--- a/src/coordination/GroupSlots.ts
+++ b/src/coordination/GroupSlots.ts
@@ -38,7 +38,7 @@
   readonly allowance: number;
   /** Maximum number of requests that the whole group should run. */
   readonly limit: number;
-  /** Duration of a pass at that load, ms. */
+  /** Duration of a pass, ms: observed, or else computed from the declared costs. */
   readonly passMs: number;
 }
 
@@ -57,7 +57,7 @@
 /** Part of the longest pause that a pass may take, since prompts are read between passes. */
 const MAX_PASS_SHARE = 0.9;
 
-/** Writers (streams being generated) that each rank may have even if passes are too long: a late answer has value. */
+/** Writers (streams being generated) that each rank may have even if passes are too long: late answers have value. */
 const MIN_WRITERS = 2;
 
 /** Factor on a process's even share of the free slots, since not all processes have work at once. */
@@ -226,7 +226,7 @@
   return (own.get(endpoint) ?? 0) + OTHERS_WEIGHT * others;
 }
 
-/** A rank in another AZ must have this much less work to be worth the traffic between AZs. */
+/** A rank in another AZ must have this many requests less to be worth the traffic between AZs. */
 const REMOTE_ZONE_PENALTY = 0.9;
 
 /** Number of ranks sampled for a request from the own AZ, and from all AZs. */
@@ -271,8 +271,8 @@
 }
 
 /**
- * Chooses the endpoint for a request: the one with the least work among a few ranks sampled at random, most of
- * them in the own AZ. Null if no rank may take it.
+ * Chooses the endpoint for a request: the one with the least work among a few ranks sampled at random, half of them
+ * from the own AZ. Null if no rank may take it.
  *
  * Many processes see the same load report for a quarter of a second. If each compared all ranks, all would
  * send to those that were idle in the report, which then queue requests while others have free slots. With 31
--- a/src/coordination/Lease.ts
+++ b/src/coordination/Lease.ts
@@ -30,8 +30,9 @@
   /** The last lease seen, and since when it has been seen unchanged, ms on the local clock. */
   readonly seen: LeaseState | null;
   readonly unchangedSince: number;
-  /** Send time of the request in flight; null for none. */
+  /** Send time of the request in flight, ms; null for none. */
   readonly requestedAt: number | null;
+  /** Earliest time of the next request, ms. */
   readonly nextRequestAt: number;
 }
 
@@ -47,6 +48,7 @@
   | {
       readonly type: 'ask';
       readonly after: { readonly token: number };
+      /** Whether a lease that another process holds is only to be reported, unless that holder has exited. */
       readonly observe: boolean;
     }
   | { readonly type: 'gained'; readonly token: number }
@@ -85,7 +87,10 @@
     : { state, outputs: [] };
 }
 
-/** A rival may request the lease once it has seen no renewal for longer than the lease lasts. */
+/**
+ * Whether this process may request the lease: it knows of no holder, holds it itself, or has seen no renewal
+ * for longer than the lease lasts.
+ */
 function mayTakeOver(state: LeaseView, now: number): boolean {
   return (
     state.seen === null ||
--- a/src/coordination/MapPlanTrigger.ts
+++ b/src/coordination/MapPlanTrigger.ts
@@ -9,7 +9,7 @@
 /** Pass time, as a share of the longest pause, from which even the minimum gain is worth a copy. */
 const FULL_PASS_SHARE = 0.8;
 
-/** Gain that a copy must bring at {@link MIN_PASS_SHARE}. */
+/** Gain that a copy must bring at {@link MIN_PASS_SHARE}, as a share of the mean rank load. */
 const MAX_REQUIRED_GAIN = 0.03;
 
 /** Time after a group has re-formed in which maps are planned regardless of its pass time, ms. */
@@ -28,9 +28,9 @@
 }
 
 /**
- * Gain that a copied expert must bring now, as a share of the mean rank load; null if the pass time is short
- * enough. Answers are late only if the pass time comes close to the longest pause, so the closer it is, the less a
- * copy must gain.
+ * Gain that a copied expert must bring now, as a share of the mean rank load; null if the pass time is unknown or
+ * short enough. Answers are late only if the pass time comes close to the longest pause, so the closer it is, the
+ * less a copy must gain.
  *
  * The pass time is ignored while the group uses its initial map or has just re-formed. The initial map takes no
  * account of demand, and if planning waited for long passes, new traffic would suffer from them before the planned
--- a/src/coordination/MapSwitchOrders.ts
+++ b/src/coordination/MapSwitchOrders.ts
@@ -50,7 +50,7 @@
 
 /** Selects the order that a rank still needs according to its latest report, by phase. */
 export const ORDER_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, OrderSelector>>> = {
-  // A hold that is carried out late, after its change has ended, would only block the group.
+  // A hold that is carried out late, after its change has ended, only blocks the group and is released.
   idle: releaseOrder,
   preparing: (state, report) => releaseOrder(state, report) ?? prepareOrder(state, report),
   voiding: voidOrder,
@@ -69,7 +69,7 @@
 
 type AwaitsReport = (state: MapSwitchState, report: RankReport, rank: number) => boolean;
 
-/** Whether a rank's latest report doesn't show what the phase waits for yet, by phase. */
+/** Whether a rank's latest report still lacks what the phase waits for, by phase. */
 const AWAITS_REPORT_BY_PHASE: Readonly<Partial<Record<MapSwitchPhase, AwaitsReport>>> = {
   preparing: ({ version }, { prepared }) => prepared !== version,
   voiding: ({ version }, { armed, prepared }) => armed !== null || prepared !== version,
--- a/src/coordination/MembershipHub.ts
+++ b/src/coordination/MembershipHub.ts
@@ -6,10 +6,10 @@
 import type { HelloReply, MemberRecord } from '../protocol/index.js';
 import { mergeRecords, type Directory } from '../state/index.js';
 
-/** A member without contact for this long is declared gone. In ms. */
+/** A member without contact for this long is declared gone, unless its record has its own `leaseMs`. In ms. */
 export const MEMBER_LEASE_MS = 3_000;
 
-/** How long the record of a gone member is kept, so that late messages are recognised as old. In ms. */
+/** How long the record of a gone member is kept, so that late messages are recognized as old. In ms. */
 export const TOMBSTONE_MS = 600_000;
 
 /** Members as one control process knows them. */
@@ -128,9 +128,9 @@
  * Merges a peer's full list. Members that the peer had reported and no longer lists are gone, except those
  * with a lease of their own (`leaseMs`), which announce themselves by heartbeats.
  *
- * A control process that has restarted lists no endpoint whose next heartbeat is still to come. Without the
- * exception, a third of a service's endpoints would be gone for a second after each restart. Such members are
- * attached here instead, and their own lease decides.
+ * A control process that has restarted lists an endpoint only after the endpoint's next heartbeat. Without
+ * the exception, a third of a service's endpoints would be gone for a second after each restart. Such members
+ * are attached here instead, and are gone only if their own lease expires.
  */
 function onPeerFull(
   state: MembershipState,
--- a/src/coordination/MembershipView.ts
+++ b/src/coordination/MembershipView.ts
@@ -5,7 +5,7 @@
 /** How long a member missing from a full list is still used. In ms. */
 export const MISSING_GRACE_MS = 5_000;
 
-/** A member, and since when the newest full list has lacked it, ms; null if it does not. */
+/** A member, and since when full lists have lacked it, ms; null if the newest list contains it. */
 export interface ViewedMember {
   readonly record: MemberRecord;
   readonly missingSince: number | null;
@@ -18,9 +18,9 @@
  * Merges an update of the directory.
  *
  * Entry processes may attach to a restarted control process before the endpoints do; its full list then lacks
- * endpoints that serve, and calls would be refused for want of an endpoint. A member that a full list lacks
- * therefore stays in use for longer than it takes to attach again. An endpoint that is really gone refuses or
- * fails the first attempt meanwhile.
+ * endpoints that serve, and calls would be refused because no endpoint is known. A member that a full list
+ * lacks therefore stays in use for longer than it takes to attach again. In that time, an endpoint that is
+ * really gone refuses or fails the first attempt.
  */
 export function mergeDelta(
   view: MembershipView,
--- a/src/coordination/Placement.ts
+++ b/src/coordination/Placement.ts
@@ -221,8 +221,8 @@
  * Whether a change saves more step time, while the load is expected to stay as it is, than its copies cost,
  * weighted by the manifest.
  *
- * If the map were recomputed at each interval, noise would keep moving weights, and streams would be disturbed for
- * a gain that is gone before it is reached.
+ * If the map were recomputed at each interval, noise would cause weights to be copied again and again, and streams
+ * would be disturbed for gains that don't last long enough to pay off.
  */
 function isWorthItsCost(candidate: Candidate, mean: number, policy: PlacementPolicy): boolean {
   const saved = (candidate.gain / mean) * policy.stepMs * policy.stableSteps;
--- a/src/coordination/PlacementEstimate.ts
+++ b/src/coordination/PlacementEstimate.ts
@@ -28,7 +28,7 @@
   return counts.map((count) => (total === 0 ? 1 : (count * counts.length) / total));
 }
 
-/** A shift of topics shows as errors far above the noise, over all experts at once. */
+/** Whether the load has shifted: the errors are far above the noise, over all experts together. */
 function isLoadShift(estimate: PlacementEstimate, shares: readonly number[]): boolean {
   const expectedError = estimate.variance.reduce((sum, variance) => sum + variance, 0);
   const squaredError = shares.reduce(
--- a/src/coordination/RankSlowdown.ts
+++ b/src/coordination/RankSlowdown.ts
@@ -1,9 +1,9 @@
 /**
- * Slowdown of each rank of a group, its time as a multiple of the usual one, as plans and request placement use
- * it.
+ * Slowdown of each rank of a group: its time as a multiple of the usual one. Used by map plans and for choosing
+ * the ranks that get requests.
  */
 
-/** Maximum slowdown in plans: slower ranks get almost no load in either case. */
+/** Maximum slowdown in plans: a rank that is this slow already gets almost no load. */
 const MAX_SLOWDOWN = 16;
 
 /** Slowdown from which a rank gets no requests while other ranks have free slots. */
--- a/src/coordination/Rollout.ts
+++ b/src/coordination/Rollout.ts
@@ -20,6 +20,7 @@
 /** Configuration that a control process serves, and what each subscriber has been sent. */
 export interface RolloutState {
   readonly phase: RolloutPhase;
+  /** Start time of the control process, ms. */
   readonly startedAt: number;
   /**
    * Newest configuration known: from the log, or in a partitioned availability zone from an attached process.
@@ -45,7 +46,7 @@
   | { readonly type: 'confirmed' }
   | { readonly type: 'subscribe'; readonly record: MemberRecord; readonly held: number }
   | { readonly type: 'unsubscribe'; readonly id: string }
-  /** An attached process holds a newer configuration than this one, and has sent it. */
+  /** An attached process has sent a newer configuration than this control process holds. */
   | { readonly type: 'learned'; readonly config: ConfigState }
   /** An attached process has a gap in its deltas. */
   | { readonly type: 'gap'; readonly id: string; readonly held: number }
@@ -54,7 +55,7 @@
 /** Outputs of the rollout. */
 export type RolloutOutput =
   | { readonly type: 'send'; readonly to: string; readonly delta: ConfigDelta }
-  /** Request the newer configuration that this process holds. */
+  /** Request the newer configuration that process `from` holds. */
   | { readonly type: 'fetch'; readonly from: string }
   | { readonly type: 'phase'; readonly phase: RolloutPhase };
 
@@ -97,8 +98,8 @@
 }
 
 /**
- * Entry processes with a newer configuration than this one. Endpoints are left out, since they hold only a
- * part.
+ * Entry processes with a newer configuration than this control process. Endpoints are left out, since they
+ * hold only a part.
  */
 function findNewerHolders({ subscribers, config }: RolloutState): readonly string[] {
   return [...subscribers.values()]
@@ -108,8 +109,8 @@
 
 /**
  * Sends all attached processes what they lack, unless the configuration held here is unconfirmed or a
- * subscriber has a newer one that is being fetched: a process that restarts would otherwise take the older
- * one while its neighbour applies the newer.
+ * subscriber has a newer one that is being fetched: a process that restarts would otherwise get the older one
+ * while another process in the zone uses the newer one.
  */
 function pushUpdates(state: RolloutState): RolloutStep {
   const mustWait = state.phase === 'checking' || findNewerHolders(state).length > 0;
@@ -215,9 +216,9 @@
  * Applies one input to the rollout.
  *
  * The configuration on the disk of a control process that restarts may be hundreds of changes old, and
- * processes that start beside it must not take it. It serves no process until a quorum has confirmed its log.
+ * processes that attach to it must not get it. It serves no process until a quorum has confirmed its log.
  * Without a quorum, it first waits for the attached processes to report what they hold, and serves the newest
- * of that.
+ * configuration among theirs and its own.
  */
 export function stepRollout(state: RolloutState, input: RolloutInput, now: number): RolloutStep {
   const handler = HANDLERS[input.type] as (
--- a/src/coordination/Routing.ts
+++ b/src/coordination/Routing.ts
@@ -23,7 +23,6 @@
   RoutingState,
 } from './RoutingTypes.js';
 
-/** Largest random key. */
 const MAX_RANDOM_KEY = 2 ** 31 - 1;
 
 /** Initial state: no endpoint is known. */
--- a/src/coordination/RoutingConstants.ts
+++ b/src/coordination/RoutingConstants.ts
@@ -3,12 +3,16 @@
 /** Half-life of the weight of a load report, ms; engines report with a lag. */
 export const REPORT_HALF_LIFE_MS = 1_000;
 
-/** Added to the score of an endpoint in another AZ: for a round trip of about 3 ms and the risk that the
- * connection between AZs fails during the call, against calls of about a second. */
+/**
+ * Added to the score of an endpoint in another AZ: for a round trip of about 3 ms and the risk that the
+ * connection between AZs fails during the call, against calls of about a second.
+ */
 export const REMOTE_ZONE_COST = 0.25;
 
-/** The endpoint that caches a prompt's prefix is used unless its score exceeds the best one by more than
- * this: the prefill that the cache saves is about this part of a call. */
+/**
+ * The endpoint that caches a prompt's prefix is used unless its score exceeds the best one by more than
+ * this: the prefill that the cache saves is about this part of a call.
+ */
 export const AFFINITY_SLACK = 0.35;
 
 /** A new or restarted endpoint gets its full share only after this time: its caches are cold. In ms. */
--- a/src/coordination/RoutingTypes.ts
+++ b/src/coordination/RoutingTypes.ts
@@ -19,7 +19,7 @@
   readonly firstSeenAt: number;
   /** Consecutive failed attempts. */
   readonly failures: number;
-  /** Ejected until this time, ms; used before only if too many are ejected or no other is left. */
+  /** Ejected until this time, ms; until then used only if too many are ejected or no other is left. */
   readonly ejectedUntil: number;
 }
 
--- a/src/coordination/StartupWait.ts
+++ b/src/coordination/StartupWait.ts
@@ -2,14 +2,14 @@
  * Requests that reach an entry process which has just started and still lacks something to serve them.
  *
  * When all hosts lose power, they are back within tenths of a second of each other. Callers whose answers broke off
- * retry at once, but the configuration is proven only a second later. If they were refused in that second, they would
- * have used up their last try, though they would have waited.
+ * retry at once, but the configuration is proven only a second later. If they were refused in that second, their last
+ * retry would be used up, although they would have waited.
  */
 
 /** Requests wait only for this long after the start of a process: elections are over by then. In ms. */
 export const STARTUP_WINDOW_MS = 3_000;
 
-/** Callers wait at least this long for a first event, ms; routes with a longer time are not known yet. */
+/** Shortest time that callers wait for a first event, ms; longer times of routes are not yet known here. */
 const MIN_PATIENCE_MS = 2_000;
 
 /** Time for a refusal or an endpoint's answer to reach the caller, ms. */
--- a/src/coordination/StreamQueue.ts
+++ b/src/coordination/StreamQueue.ts
@@ -1,14 +1,14 @@
 /**
  * Requests of one model service that wait at an entry process for a slot.
  *
- * A burst, or a group that is slow or down for seconds, brings more requests than can be served on time.
- * Retries of callers that were refused before go first, since they have no further try. Next are requests
- * that can still be on time, those with the earliest objective first. Requests that can only be late get the
- * remaining slots, since a late answer is worth about half and a refusal nothing. A request that can't be
- * answered by its deadline is refused at once, with a retry delay after which the queue will have drained.
+ * A burst, or a group that is slow or down for seconds, brings more requests than can be served on time. Retries of
+ * callers that were refused before go first, since those callers don't retry again. Next are requests that can
+ * still be on time, those with the earliest objective first. Requests that can only be late get the remaining
+ * slots, since a late answer is worth about half and a refusal nothing. A request that can't be answered by its
+ * deadline is refused at once, with a retry delay after which the queue will have drained.
  */
 
-/** A waiting request; times on the local monotonic clock. */
+/** A waiting request; times in ms on the local monotonic clock. */
 export interface WaitingRequest {
   readonly id: number;
   /** 0 is the most urgent. */
@@ -39,7 +39,7 @@
   readonly isLongDown: boolean;
   /** Time from sending a request to its first event, ms. */
   readonly firstMs: number;
-  /** Time to generate an answer of so many tokens, ms. */
+  /** Time to generate an answer of this many tokens, ms. */
   readonly writeMs: (tokens: number) => number;
 }
 
@@ -80,7 +80,7 @@
  * Sorts retries before all others, then requests that can be on time before late ones, then by priority, then
  * by objective, or by arrival if they are late.
  *
- * A caller that retries is already late, has no further try and little time left. A new request that yields to
+ * A caller that retries is already late, doesn't retry again and has little time left. A new request that yields to
  * it can still be answered late, or be retried itself. Without a queue, no request has to yield.
  */
 function compareUrgency(
@@ -194,7 +194,7 @@
 ): QueueStep {
   const ahead = queue.filter((other) => compareUrgency(other, request, forecast, now) <= 0).length;
   const queueWaitMs = expectedWaitMs(ahead, forecast);
-  // A caller that retries has no further try, so it waits as long as it can.
+  // A caller that retries doesn't do so again, so its request waits as long as it can.
   const waitMs = request.isCallerRetry || forecast.ratePerMs === 0 ? 0 : queueWaitMs;
   if (!canFinish(request, forecast, now, waitMs)) {
     const retryAfterMs = retryDelayMs(request.deadline - now, queue.length, forecast, random);
--- a/src/coordination/TokenBucket.ts
+++ b/src/coordination/TokenBucket.ts
@@ -9,7 +9,10 @@
  */
 export const INITIAL_BUCKET_BYTES = 64_000;
 
-/** State of a bucket. `tokens`, in bytes, may be negative; the next sender waits until they are refilled. */
+/**
+ * State of a bucket. `tokens`, in bytes, may be negative; the next sender waits until they are refilled.
+ * `updatedAt` is in ms.
+ */
 export interface TokenBucket {
   readonly tokens: number;
   readonly updatedAt: number;
--- a/src/coordination/UpdateThrottle.ts
+++ b/src/coordination/UpdateThrottle.ts
@@ -1,7 +1,7 @@
 /**
- * Throttles an update that many changes in a row need only once. The first change is handled at once, changes that
- * follow within {@link THROTTLE_MS} by one common update. So a single change is delayed by at most that time, and
- * a burst of changes causes at most one update in each such period.
+ * Limits how often an update runs that handles all changes so far. The first change is handled at once, and
+ * changes that follow within {@link THROTTLE_MS} are handled by one update together. So a single change is delayed
+ * by at most that time, and a burst of changes causes at most one update in each such period.
  */
 
 /** Minimum time between two updates, ms: short compared to the time in which a change must take effect. */
