--- a/src/coordination/__tests__/unit/Attempts.test.ts
+++ b/src/coordination/__tests__/unit/Attempts.test.ts
@@ -70,7 +70,7 @@
     assert.deepEqual(kinds(run(true, inputs).outputs), ['finish']);
   });
 
-  // Guards against running a call twice: a reorder was written to a kept-alive connection that died, so it
+  // Guards against running a call twice: a reorder was written to a kept-alive connection that closed, so it
   // may have run. It is sent elsewhere only after the gate has confirmed that it never will be run there.
   it('retries a non-repeatable call only after its revocation', () => {
     const lost: AttemptInput = { type: 'lost', attempt: 1 };
@@ -104,8 +104,8 @@
     });
   });
 
-  // The engine crashes after the last token and before the final event. Everything was delivered, but it
-  // can't be known that it was everything, so the stream must end as truncated.
+  // The engine crashes after the last token and before the final event. All tokens were delivered, but
+  // nothing shows that none is missing, so the stream must end as truncated.
   it('never finishes a stream without its final event', () => {
     const { outputs } = run(true, [head(true), data(1), { type: 'cut', attempt: 1 }]);
     assert.deepEqual(kinds(outputs), ['fail answer_cut failed']);
--- a/src/coordination/__tests__/unit/Consensus.test.ts
+++ b/src/coordination/__tests__/unit/Consensus.test.ts
@@ -59,8 +59,8 @@
     );
   });
 
-  // The leader is partitioned and still believes that it leads. After the quorum timeout it must refuse
-  // the requests of callers, and it must never complete its reads.
+  // The leader is partitioned and has not noticed it. After the quorum timeout it must step down and
+  // refuse its pending reads, and it must never complete them.
   it('steps down and refuses reads when it has lost contact with a quorum', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     cluster.runUntil(() => cluster.leader !== undefined && cluster.committed.size > 0);
--- a/src/coordination/__tests__/unit/ConsensusVoters.test.ts
+++ b/src/coordination/__tests__/unit/ConsensusVoters.test.ts
@@ -62,6 +62,10 @@
   commitCommand(cluster, command);
 }
 
+/**
+ * `behind`: a host is partitioned. `replaced`: by an empty host. `wiped`: it returns without its disk. `dark`: all
+ * hosts lose power, and one its disk.
+ */
 type Loss = 'behind' | 'replaced' | 'wiped' | 'dark';
 
 /** All permutations of some items. */
@@ -115,6 +119,7 @@
   assert.ok(lost.every((n) => losses[n - 1] === 'behind'));
 }
 
+/** As {@link Loss}; `wipedInTheDark` is `dark` there. `afterMs` is the time until the next loss. */
 const LOSS = {
   kind: fc.constantFrom('replaced', 'wiped', 'restarted', 'wipedInTheDark'),
   at: fc.nat(2),
@@ -162,8 +167,8 @@
 
 describe('nextVoterChange', () => {
   // One host is behind, one is replaced, one loses its disk, and all lose power with one more disk lost.
-  // One order of these once ended with nothing being accepted any more. In all orders, at the leader or at
-  // another host, accepted commands must stay and further ones be accepted.
+  // Guards against a cluster that accepts no commands after some order of these losses. In all orders, at
+  // the leader or at another host, accepted commands must stay and further ones be accepted.
   permutationsOf<Loss>(['behind', 'replaced', 'wiped', 'dark']).forEach((losses) => {
     it(`accepts commands again after these losses: ${losses.join(', ')}`, () => {
       for (let hits = 0; hits < 16; hits += 1) {
@@ -191,12 +196,11 @@
     assert.equal(cluster.leader?.members.voters.length, 3);
   });
 
-  // The leader's host was replaced by an empty one; a second later the new leader's process was killed and
-  // restarted. Each leader counted how long the lost host was unreachable from its own election, so that
-  // it was still one of four voters when another disk was lost in a power loss. Two of four are no quorum:
-  // the operator could read no configuration, and callers were refused until an operator intervened. The
-  // successor was the host that accepted last; the logs of such a run show four voters from its promotion
-  // until a single leader had seen the lost host unreachable for 3 s.
+  // The leader's host is replaced by an empty one; a second later the new leader's process is killed and
+  // restarted. If each leader counted from its own election how long the lost host is unreachable, that
+  // host would be one of four voters until a single leader has seen it unreachable for 3 s, and still be a
+  // voter when another disk is lost in a power loss. Two of four are no quorum: the operator could read no
+  // configuration, and callers would be refused until an operator intervenes.
   it('accepts commands again if the leader changes between the replacement and the next lost disk', () => {
     const cluster = new ConsensusCluster(MEMBERS);
     commitCommand(cluster, 'first');
@@ -234,10 +238,10 @@
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
-  // One of five hosts is partitioned while another loses its disk and returns empty. The partitioned host
-  // was removed to make room for it; after a second lost disk two of four voters were left, and the third
-  // host with all accepted commands had no vote. Nothing was accepted any more although all hosts were
-  // back.
+  // One of five hosts is partitioned while another loses its disk and returns empty. If the partitioned
+  // host were removed to make room for it, two of four voters would be left after a second lost disk, and
+  // the third host with all accepted commands would have no vote. No command would be accepted although
+  // all hosts are back.
   it('keeps the vote of a host that is partitioned while two others lose their disks', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
     commitCommand(cluster, 'first');
@@ -260,9 +264,9 @@
     assert.equal(cluster.leader?.members.voters.length, 5);
   });
 
-  // Two of five hosts were unreachable while a newcomer had caught up. Both were removed before it was
-  // promoted, and what the remaining three accepted was on only two disks; an accepted change was lost
-  // with two disks, a loss that five hosts tolerate.
+  // Two of five hosts are unreachable while a newcomer has caught up. If both were removed before it is
+  // promoted, what the remaining three accept would be on only two disks, and an accepted change would be
+  // lost with two disks, a loss that five hosts must tolerate.
   it('keeps quorums of three of five hosts, whichever are unreachable when newcomers are added', () => {
     const cluster = new ConsensusCluster(FIVE_MEMBERS);
     commitCommand(cluster, 'first');
--- a/src/coordination/__tests__/unit/DirectAttempts.test.ts
+++ b/src/coordination/__tests__/unit/DirectAttempts.test.ts
@@ -20,8 +20,8 @@
 }
 
 describe('judgeFailure', () => {
-  // A non-repeatable call was sent on a connection that then died. The endpoint may have run it: if it
-  // were retried it could run twice, and if it were refused the caller would retry it.
+  // A non-repeatable call was sent on a connection that then closed. The endpoint may have run it: if it were
+  // retried it could run twice, and if it were refused the caller would retry it.
   it('fails a non-repeatable call that may have run', () => {
     assert.equal(judge('lost', { mayHaveRun: true }), 'fail');
     assert.equal(judge('broken', { mayHaveRun: true }), 'fail');
--- a/src/coordination/__tests__/unit/EndpointLimits.test.ts
+++ b/src/coordination/__tests__/unit/EndpointLimits.test.ts
@@ -23,7 +23,7 @@
   return state.get(INCARNATION_KEY)?.perSecond ?? null;
 }
 
-/** Applies an answer whose request was sent just now, with all that the process knows. */
+/** Applies an answer to a request that a process with this state sent just now. */
 function advertise(state: LimitsState, limit: AdvertisedLimit, now: number): LimitsState {
   const sent = { clock: clockOf(state, INCARNATION_KEY), at: now };
   return applyAdvertisedLimit(state, INCARNATION_KEY, sent, limit, now).state;
@@ -112,7 +112,7 @@
     const step = fc.record({
       process: fc.nat({ max: 2 }),
       limit: fc.constantFrom<AdvertisedLimit>(1, 2, 'none'),
-      /** Process whose set it receives first. */
+      /** Process whose whole set it merges before it applies the limit; null for none. */
       receivesFrom: fc.option(fc.nat({ max: 2 })),
     });
     fc.assert(
--- a/src/coordination/__tests__/unit/EndpointRefusals.test.ts
+++ b/src/coordination/__tests__/unit/EndpointRefusals.test.ts
@@ -13,7 +13,7 @@
 
 const NONE: EndpointRefusals = new Map();
 
-/** Times of the refusals that a process receives which sends a request whenever the endpoint isn't avoided, ms. */
+/** Times of refusals, ms, if a process sends a request as soon as the endpoint isn't avoided. */
 function refusalTimes(ms: number): readonly number[] {
   const times: number[] = [];
   let refusals = NONE;
--- a/src/coordination/__tests__/unit/EngineModel.test.ts
+++ b/src/coordination/__tests__/unit/EngineModel.test.ts
@@ -21,7 +21,8 @@
 };
 
 describe('EngineModel', () => {
-  // With 128 writers on 16 ranks, a pass takes 48 ms by the declared costs, and 130 ms at a skew of 3.7.
+  // With 128 writers on 16 ranks, a pass takes 48 ms by the declared costs. At a skew of 3.7 it takes
+  // 130 ms; the model predicts about 117 ms.
   it('predicts longer passes if one rank has most of the load', () => {
     assert.equal(skewCorrection(COSTS, 1), 1);
     const full = passTime(COSTS, COSTS.slots);
--- a/src/coordination/__tests__/unit/LeaseHolder.test.ts
+++ b/src/coordination/__tests__/unit/LeaseHolder.test.ts
@@ -16,7 +16,7 @@
 const HOLDER = holderName(RECORD);
 
 describe('hasHolderTerminated', () => {
-  // Guards against a group that stays held by a coordinator that was killed, until the lease has expired.
+  // Guards against a group that gets a new coordinator only once the lease of a killed one has expired.
   it('takes a later incarnation, or a report of its host, as proof that the holder has terminated', () => {
     const later: MemberRecord = { ...RECORD, incarnation: 21 };
     const ended: MemberRecord = { ...RECORD, status: 'gone', ended: true };
--- a/src/coordination/__tests__/unit/Rollout.test.ts
+++ b/src/coordination/__tests__/unit/Rollout.test.ts
@@ -62,7 +62,7 @@
 
 describe('stepRollout', () => {
   // A control process restarts after hundreds of changes. The configuration on its disk may be long out of
-  // date; a process that starts beside it must not be sent that before a quorum has confirmed it.
+  // date, and must not be sent to a process that attaches before a quorum has confirmed it.
   it('serves no process before its log is confirmed', () => {
     const waiting = [config(7), subscribe(member('e1'))];
     assert.deepEqual(sent(run(waiting).outputs), []);
@@ -74,7 +74,7 @@
 
   // As above, but the availability zone is partitioned and no quorum replies. The control process waits
   // for the attached processes to report what they hold, and then serves what it has, so that the
-  // availability zone goes on.
+  // availability zone keeps working.
   it('serves what it holds after the timeout in a partitioned availability zone', () => {
     const { state } = run([config(7), subscribe(member('e1'))]);
     assert.deepEqual(
@@ -89,8 +89,8 @@
 
   // An entry process was attached to a control process in another availability zone when the partition
   // began, and holds index 9; this control process holds 7. A process that restarts now must wait for the
-  // newer one. The exhaustive check in spec/SpecRollout.ts found that the control process went on serving
-  // while it was still fetching.
+  // newer one: the control process must serve no one while it is still fetching. spec/SpecRollout.ts
+  // checks this exhaustively.
   it('fetches a newer configuration before it serves any other process', () => {
     const ahead = [
       config(7),
--- a/src/coordination/__tests__/unit/StartupWait.test.ts
+++ b/src/coordination/__tests__/unit/StartupWait.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('startupWait', () => {
-  // After a power loss, callers would be refused until the configuration is proven, and have no try left.
+  // Guards against refusing callers after a power loss until the configuration is proven: they have no retry left.
   it('serves all callers that arrive up to their patience before the configuration is proven', () => {
     const arrivals = Array.from({ length: 28 }, (_none, i) => i * 50);
     const outcomes = arrivals.map((at) => outcomeOf(at, 8_000, 1_500));
--- a/src/coordination/__tests__/unit/StreamQueue.test.ts
+++ b/src/coordination/__tests__/unit/StreamQueue.test.ts
@@ -63,8 +63,8 @@
     assert.deepEqual(admitWaiting(queue, { ...BUSY, free: 1 }, 10, 0.5).admitted, [2]);
   });
 
-  // A group was down for seconds, and its callers retry among new ones as it opens. Sent after the new ones
-  // they would miss their deadline, and they have no further try.
+  // A group was down for seconds, and its callers retry among new ones as it opens. Sent after the new ones they
+  // would miss their deadline, and their callers don't retry again.
   it('admits retries before all others', () => {
     const queue = enqueueAll([
       request(1, { objectiveAt: 900 }),
--- a/src/coordination/__tests__/utils/ConsensusCluster.ts
+++ b/src/coordination/__tests__/utils/ConsensusCluster.ts
@@ -109,7 +109,7 @@
   }
 
   /**
-   * Time of one process's last contact with another replica over the link between them; a restart forgets it.
+   * Time of one process's last contact with another replica over the link between them; lost at a restart.
    */
   heardAt(by: string, id: string): number {
     const isReachable = this.#states.has(id) && !this.#isolated.has(id) && !this.#isolated.has(by);
--- a/src/coordination/__tests__/utils/LimitsModel.ts
+++ b/src/coordination/__tests__/utils/LimitsModel.ts
@@ -32,7 +32,7 @@
 export interface LimitsOutcome {
   /**
    * Maximum number of requests that arrive at the endpoint in a window of 4 s, from 3 s after the limit was first
-   * advertised, sent by hosts that had received it 0.5 s before.
+   * advertised, sent by hosts to which an answer had advertised it at least 0.5 s before the arrival.
    */
   readonly maxArrivals: number;
   /** Requests per second that arrive at the endpoint from then on. */
