--- a/src/coordination/ConfigFreshness.ts
+++ b/src/coordination/ConfigFreshness.ts
@@ -3,10 +3,11 @@
  * key are served only while the lease is valid. Otherwise a key that is revoked while the entry process is
  * partitioned or frozen would go on working there.
  *
- * To renew the lease, the entry process asks for the newest log index, and a leader with a fresh quorum
- * replies. The lease counts from when that request was sent, and is checked for each request of a caller. It
- * is invalid when the two clocks of the host disagree on how long ago that was: the monotonic clock stops
- * while a host is suspended, the time of day may be set, and neither shows which of the two has happened.
+ * To renew the lease, the entry process asks for the log index of the newest configuration, and a leader
+ * replies after a quorum has confirmed it. The lease counts from when that request was sent, and is checked
+ * for each request of a caller. It is invalid when the two clocks of the host disagree on how long ago that
+ * was: the monotonic clock stops while a host is suspended, the time of day may be set, and neither shows
+ * which of the two has happened.
  */
 
 /** Both clocks of a host, read together; ms. */
--- a/src/coordination/ConsensusReplication.ts
+++ b/src/coordination/ConsensusReplication.ts
@@ -94,8 +94,8 @@
 }
 
 /**
- * Becomes leader, and appends the members again as an entry of its own term. This entry commits what earlier
- * terms left, and tells a replica that joined without a snapshot who the members are.
+ * Becomes leader, and appends the members again as an entry of its own term. Committing this entry also commits
+ * those of earlier terms, and it tells a replica that joined without a snapshot who the members are.
  */
 export function becomeLeader(state: ConsensusState, ctx: ConsensusContext): ConsensusStep {
   const initialProgress = { next: lastIndex(state) + 1, match: 0, heardAt: ctx.now, round: 0 };
--- a/src/coordination/ConsensusTypes.ts
+++ b/src/coordination/ConsensusTypes.ts
@@ -116,6 +116,7 @@
   readonly heartbeatAt: number;
   readonly votes: readonly string[];
   readonly progress: Readonly<Record<string, ConsensusProgress>>;
+  /** Round of the last read; see {@link ConsensusRead}. */
   readonly round: number;
   readonly reads: readonly ConsensusRead[];
 }
--- a/src/coordination/LeaseRenewals.ts
+++ b/src/coordination/LeaseRenewals.ts
@@ -15,6 +15,7 @@
 
 /** Renewals that a leader has received since its election, by group. */
 export interface LeaseRenewalsState {
+  /** ms on the local monotonic clock. */
   readonly electedAt: number;
   readonly renewals: ReadonlyMap<string, Renewal>;
 }
--- a/src/coordination/MapCommit.ts
+++ b/src/coordination/MapCommit.ts
@@ -51,9 +51,11 @@
    * count for the next one, and `commit` be sent although a rank isn't armed.
    */
   readonly highestProposed: number;
+  /** First step that may use the version. */
   readonly step: number;
   /** Latest status of each rank in this phase; null for a rank that hasn't answered. */
   readonly answers: readonly (RankStatus | null)[];
+  /** When the version was proposed, and when orders were last sent, ms. */
   readonly startedAt: number;
   readonly sentAt: number;
 }
--- a/src/coordination/MapSwitchTypes.ts
+++ b/src/coordination/MapSwitchTypes.ts
@@ -42,6 +42,7 @@
   readonly nextOrderAt: readonly (number | null)[];
   /** Recent orders without an answer; many of them make the coordinator choose a later pass for the switch. */
   readonly unansweredOrders: number;
+  /** When the version was proposed, ms. */
   readonly startedAt: number;
 }
 
--- a/src/coordination/__tests__/unit/ConsensusVoters.test.ts
+++ b/src/coordination/__tests__/unit/ConsensusVoters.test.ts
@@ -294,7 +294,7 @@
     );
   });
 
-  // As above, with a process killed beside each loss; it restarts at once, and no data is lost with it.
+  // As above, with a process killed 0.1 to 2 s after each loss; it restarts at once and loses no data.
   it('tolerates one loss after the other while processes are killed', () => {
     const killed = fc.record({ at: fc.nat(2), afterMs: fc.integer({ min: 100, max: 2_000 }) });
     fc.assert(
