--- a/src/daemon/DaemonConsensusJournal.ts
+++ b/src/daemon/DaemonConsensusJournal.ts
@@ -8,8 +8,8 @@
 } from '../coordination/index.js';
 
 /**
- * One journal record. A `commit` record is written before the entries that it covers are applied or sent to other
- * processes.
+ * One journal record. A `commit` record is written before the entries that it covers are applied, and so before their
+ * results are sent to other processes.
  */
 export type JournalRecord =
   | { readonly kind: 'hard'; readonly term: number; readonly vote: string | null }
--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -26,13 +26,13 @@
 
 /**
  * How often the leader checks whether a learner has caught up or a voter is gone, ms. Until a lost disk is replaced,
- * one loss less is tolerated; a check costs only some microseconds.
+ * one loss fewer is tolerated; a check costs only some microseconds.
  */
 const VOTER_CHECK_INTERVAL_MS = 100;
 
 /**
- * Timeout for a read of the newest index, ms: about a hundred round trips between AZs. A read that takes longer means
- * that the leader is gone, and its caller should ask another control process.
+ * Timeout for a read of the newest index, ms: about a hundred round trips between AZs. If a read takes longer, the
+ * leader counts as unreachable, and the caller should ask another control process.
  */
 const READ_TIMEOUT_MS = 800;
 
@@ -95,8 +95,8 @@
 }
 
 /**
- * Reads the newest log index from the leader, once a leader is known; rejects if that takes until the time
- * `waitUntil`.
+ * Reads the newest log index from the leader, once a leader is known; rejects if none is known by `waitUntil`, ms on the
+ * local monotonic clock.
  */
 async function readIndexAtLeader(cradle: Cradle, waitUntil: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
--- a/src/daemon/DaemonEndpoint.ts
+++ b/src/daemon/DaemonEndpoint.ts
@@ -100,7 +100,7 @@
   return container.cradle;
 }
 
-/** Leaves: announces that, refuses new attempts, and waits until `drained` resolves. */
+/** Announces that the process is leaving, refuses new attempts, and waits until `drained` resolves. */
 async function leave(
   { hubLink, gate }: Cradle,
   runtime: Runtime,
--- a/src/daemon/DaemonEndpointCrashes.ts
+++ b/src/daemon/DaemonEndpointCrashes.ts
@@ -29,7 +29,7 @@
 
   #state: EndpointCrashesState = NO_ENDPOINT_CRASHES;
 
-  /** Endpoints at which requests were lost, by incarnation, while it is unknown whether it has crashed. */
+  /** Endpoints at which requests were lost, by incarnation, while it is unknown whether they have crashed. */
   readonly #endpoints = new Map<IncarnationKey, MemberRecord>();
 
   readonly #probes = new Map<IncarnationKey, Promise<void>>();
--- a/src/daemon/DaemonEntry.ts
+++ b/src/daemon/DaemonEntry.ts
@@ -11,7 +11,7 @@
 
 const TICK_MS = 250;
 
-/** Maximum number of connections to one gate. Further calls wait for a free one, and count as in flight. */
+/** Maximum number of connections to one gate. Further calls wait for a free one, and count as in progress. */
 const CONNECTIONS_PER_GATE = 256;
 
 interface Cradle {
--- a/src/daemon/DaemonEntryApi.ts
+++ b/src/daemon/DaemonEntryApi.ts
@@ -92,8 +92,8 @@
 }
 
 /**
- * Whether a request may be repeated. A caller can forbid the repetition that its service allows, but not allow what
- * it forbids.
+ * Whether a request may be repeated. A caller can forbid repetition where its service allows it, but can't allow it
+ * where the service forbids it.
  */
 function readRepeatable(req: IncomingMessage, service: FleetService): boolean {
   const text = headerOf(req, CALLER_HEADERS.repeatable);
@@ -103,7 +103,7 @@
   return service.service.repeatable && text !== 'false';
 }
 
-/** Rejects requests with `Idempotency-Key`, which can't be honored until keys are claimed by quorum. */
+/** Rejects requests with `Idempotency-Key`: honoring it would require that a quorum records the keys in use. */
 function refuseIdempotencyKey(req: IncomingMessage): void {
   if (headerOf(req, CALLER_HEADERS.key) !== undefined) {
     throw new RequestError('key_unsupported', `${CALLER_HEADERS.key} is not supported yet`);
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -97,7 +97,7 @@
   /** Requests during which endpoints crashed, as reported by entry processes. */
   readonly quarantine: DaemonQuarantine;
 
-  /** Limits that endpoints have declared, as reported by entry processes. */
+  /** Limits that endpoints have advertised, as reported by entry processes. */
   readonly #limits: DaemonLimits;
 
   #membership: MembershipState = EMPTY_MEMBERSHIP;
@@ -175,7 +175,7 @@
   }
 
   /**
-   * Handles the heartbeat of an endpoint that runs no process of ours. Only changes are published: a heartbeat
+   * Handles the heartbeat of an endpoint that isn't attached by a link. Only changes are published: a heartbeat
    * without one just renews the lease here.
    */
   onHeartbeat(record: MemberRecord): void {
@@ -190,7 +190,7 @@
     );
   }
 
-  /** Handles the departure of an endpoint that runs no process of ours. */
+  /** Handles the departure of an endpoint that isn't attached by a link. */
   onDeparture(record: MemberRecord): void {
     this.#stepMembership({ type: 'announce', record });
   }
@@ -277,7 +277,7 @@
       return reply;
     }
     this.#processes.get(id)?.link.close();
-    // The link acts for the process that said hello on it, and can't speak for another.
+    // The link belongs to the process that sent its hello on it, and carries no other process's messages.
     // eslint-disable-next-line no-param-reassign
     link.peer = id;
     const sender = rateLimitedSender(link, this.#options.now);
--- a/src/daemon/DaemonLimits.ts
+++ b/src/daemon/DaemonLimits.ts
@@ -1,4 +1,4 @@
-/** Holds the limits that endpoints have declared, in an entry or control process, and exchanges them with others. */
+/** Holds the limits that endpoints have advertised, in an entry or control process, and exchanges them with others. */
 import {
   dropExpiredLimits,
   hashLimits,
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -25,11 +25,11 @@
 export interface ScreeningOptions {
   readonly runtime: Runtime;
   readonly metrics: EntryMetrics;
-  /** Sends an update to the control process; lost while there is no link. */
+  /** Sends an update to the control process; it is lost while there is no link. */
   readonly send: SendQuarantineUpdate;
 }
 
-/** Sender name for all updates from control processes: only one is attached at a time. */
+/** Sender name for all updates from control processes: this process is attached to only one at a time. */
 const HUB = 'hub';
 
 /** Screens the requests of one entry process. */
@@ -107,7 +107,7 @@
   /**
    * Handles a lost connection to an endpoint during a request. Resolves once it is known, as far as possible, whether
    * the endpoint crashed. A request that endpoints answered completely a short while ago isn't suspected: one that is
-   * sent all the time is in progress wherever an endpoint crashes.
+   * sent all the time is in progress at almost any endpoint, whatever that crashes of.
    */
   async onConnectionLost(
     endpoint: MemberRecord,
--- a/src/daemon/DaemonSharedSet.ts
+++ b/src/daemon/DaemonSharedSet.ts
@@ -65,7 +65,7 @@
     return this.#state;
   }
 
-  /** Applies a change of this process or one from an update of the process `from`. */
+  /** Applies a change made by this process, or where `from` is given, by an update from that process. */
   apply({ state, changed }: SharedSetStep<State, Item>, from: string | null = null): void {
     this.#replace(state);
     if (changed.length > 0) {
--- a/src/daemon/direct/DirectAdmission.ts
+++ b/src/daemon/direct/DirectAdmission.ts
@@ -34,10 +34,13 @@
   readonly request: string;
   readonly service: string;
   readonly priority: number;
+  /** When the request arrived, ms on the local monotonic clock. */
   readonly startedAt: number;
   /** Objective for the time to the first event, ms. */
   readonly objectiveMs: number;
+  /** ms on the same clock as `startedAt`. */
   readonly deadline: number;
+  /** The caller of a stream disconnects after this time without an event, also before the first one; ms. */
   readonly patienceMs: number;
   /** Length of the whole answer, tokens: the maximum, and the caller's estimate. Null where the caller gives none. */
   readonly tokens: number | null;
@@ -60,15 +63,15 @@
 /** Longest pause between events to aim for where no route sets one, ms. */
 export const DEFAULT_PAUSE_MS = 120;
 
-/** Engine passes between sending a request and its first event, apart from reading the prompt. */
+/** Number of engine passes between sending a request and its first event, apart from reading the prompt. */
 const FIRST_EVENT_PASSES = 1.5;
 
 /** Overhead of connections and forwarding in the time to the first event, ms. */
 const FIRST_EVENT_OVERHEAD_MS = 30;
 
 /**
- * A service that has been down for longer than this counts as lost until it answers: callers' deadlines are 8 s, and
- * a partition that heals does so within 6 s. In ms.
+ * If a service has been down for longer than this, requests aren't expected to be answered in time until it is open
+ * again or sends an event: callers' deadlines are 8 s, and a partition that heals does so within 6 s. In ms.
  */
 const LONG_DOWN_MS = 10_000;
 
@@ -109,7 +112,7 @@
 
   readonly #waiters = new Map<number, Waiter>();
 
-  /** Requests of this process in progress, by endpoint. */
+  /** Number of requests of this process in progress, by endpoint. */
   readonly #own = new Map<string, number>();
 
   readonly #streams = new DirectStreams();
@@ -120,7 +123,7 @@
   /** When a service whose groups were all closed last had one open again, ms. */
   readonly #reopenedAt = new Map<string, number>();
 
-  /** Granted slots whose requests haven't been sent yet, by service. */
+  /** Number of granted slots whose requests haven't been sent yet, by service. */
   readonly #granted = new Map<string, number>();
 
   #entryHosts = 1;
@@ -275,12 +278,12 @@
     });
   }
 
-  /** Records the end of a stream that had received events. */
+  /** Records the end of a stream from which events were received. */
   onStreamFinished(endpoint: string): void {
     this.#streams.onFinished(endpoint);
   }
 
-  /** Records the end of a request without any event; `wasCancelled` where this process gave it up. */
+  /** Records the end of a request without any event; `wasCancelled` where this process cancelled it. */
   onUnanswered(service: string, endpoint: string, wasCancelled: boolean): void {
     const groups = [...(this.#services.get(service)?.groups.values() ?? [])];
     const avoid =
--- a/src/daemon/direct/DirectAttempt.ts
+++ b/src/daemon/direct/DirectAttempt.ts
@@ -26,9 +26,9 @@
 export interface AttemptFailure {
   readonly failure: DirectFailure;
   readonly reason: string;
-  /** The endpoint's error answer, which is passed on to the caller if the request isn't sent again. */
+  /** The endpoint's error answer, passed on to the caller if the request isn't sent again; null without one. */
   readonly answer: WholeAnswer | null;
-  /** Instance that the endpoint blames, if it names one. */
+  /** Instance that the endpoint names as faulty; null if it names none. */
   readonly faultyInstance: string | null;
   /** Whether another instance now has the endpoint's address. */
   readonly wrongInstance: boolean;
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -93,7 +93,7 @@
     return this.#firstByteAt === null ? null : this.#firstByteAt - this.#request.startedAt;
   }
 
-  /** Longest pause between two events of its stream, ms; 0 where there was none. */
+  /** Longest pause between two events of the stream, ms; 0 where there was none. */
   get longestPauseMs(): number {
     return this.#longestPauseMs;
   }
@@ -181,8 +181,8 @@
 
   /**
    * Sends the request to an endpoint. Every send goes through here (the first, a retry, after a wait, to resume a
-   * stream), so the quarantine is checked here. `reservedEndpoint` is an endpoint at which it has reserved a send
-   * slot.
+   * stream), so the quarantine is checked here. `reservedEndpoint` is an endpoint at which the request has reserved
+   * a send slot.
    */
   #send(reservedEndpoint: MemberRecord | null = null): void {
     const { service, route, head, customer, req, body, deadline } = this.#request;
@@ -221,7 +221,7 @@
         path: req.url ?? '/',
         headers: raw,
         body: body.length === 0 ? null : body,
-        // A late second answer to the earlier send there would carry the same id.
+        // A late answer to the earlier send to this endpoint would carry the same id.
         usesOwnConnection: isRepeat,
       },
       listener: {
@@ -245,8 +245,9 @@
   }
 
   /**
-   * No endpoint accepts the request now. Waits for a send slot at an endpoint with a limit or backoff, if there is
-   * one while the caller waits; else ends the request at once, and a refusal names the time until the next send slot.
+   * Called when no endpoint accepts the request now. If an endpoint with a limit or backoff has a send slot before the
+   * caller's patience ends, waits for that slot. Otherwise the request ends at once; if it is refused, the refusal
+   * names the time until the next send slot.
    */
   #awaitSendSlot(): void {
     const { service, route, head, startedAt, deadline } = this.#request;
@@ -365,7 +366,7 @@
     }
   }
 
-  /** A stream is complete. It has a head only if there was no event left, as when resumed after its last one. */
+  /** Ends a complete stream. One without events, as when resumed after its last one, gets its head only here. */
   #onStreamEnd(answer: AttemptHead): void {
     this.#onStreaming();
     this.#endAttempt('whole');
@@ -379,8 +380,8 @@
   }
 
   /**
-   * Handles a complete answer that isn't a stream. Where the caller has been sent part of a stream, that can't be
-   * continued with it, and the attempt has failed.
+   * Handles a complete answer that isn't a stream. If part of a stream has been sent to the caller, such an
+   * answer can't continue it, and the attempt counts as failed.
    */
   #onAnswer(answer: WholeAnswer): void {
     if (!this.#request.reply.streamStarted) {
--- a/src/daemon/direct/DirectCallerConnections.ts
+++ b/src/daemon/direct/DirectCallerConnections.ts
@@ -36,9 +36,9 @@
 }
 
 /**
- * Keeps the HTTP server's own error answers away from requests in progress: its 400 or 408 for invalid input after a
- * request would be sent in place of that request's answer. Such a connection accepts nothing more, and is closed once
- * all completely received requests are answered.
+ * Prevents the HTTP server's own error answers from replacing those of requests in progress: its 400 or 408 for
+ * invalid input after a request would be sent in place of that request's answer. Instead, a connection with invalid
+ * input accepts nothing more, and is closed once all completely received requests are answered.
  */
 export class DirectCallerConnections {
   readonly #connections = new WeakMap<Duplex, Connection>();
--- a/src/daemon/direct/DirectConfigWatch.ts
+++ b/src/daemon/direct/DirectConfigWatch.ts
@@ -1,17 +1,17 @@
 /**
  * Keeps the configuration of an entry process up to date: polls its hub for the index of the newest one, and searches
- * for another hub if this one is unresponsive, can't tell, or names a configuration that doesn't arrive.
+ * for another hub if this one is unresponsive, fails to name it, or names a configuration that doesn't arrive.
  */
 import type { Logger } from 'pino';
 import type { ClockReading } from '../../coordination/index.js';
 import { LinkTimeoutError } from '../../transport/index.js';
 import type { Runtime } from '../DaemonRuntime.js';
 
-/** Interval of the polls: several within the shortest lease. In ms. */
+/** Poll interval, ms; the shortest lease spans several polls. */
 const POLL_INTERVAL_MS = 700;
 
 /**
- * A hub that doesn't answer a ping within this time is unresponsive, and another one is searched for. It is a hundred
+ * A hub that doesn't answer a ping within this time is unresponsive, and another one is searched for. This is a hundred
  * round trips between availability zones, and a change must be in force within 2 s of its acknowledgement even if the
  * hub froze right before. In ms.
  */
@@ -24,8 +24,8 @@
 const MAX_FAILURES = 2;
 
 /**
- * Consecutive replies naming a configuration that hasn't arrived, after which it is requested again, and after which
- * another hub is searched for.
+ * Numbers of consecutive replies naming a configuration that hasn't arrived: after the first number it is requested
+ * again, after the second another hub is searched for.
  */
 const RESEND_AFTER = 2;
 const SEARCH_AFTER = 4;
@@ -48,7 +48,10 @@
 export interface ConfigWatchOptions {
   readonly hub: ConfigHub;
   readonly runtime: Pick<Runtime, 'now' | 'clocks'> & { readonly log: Pick<Logger, 'warn'> };
-  /** Receives the newest index, as named by a leader with a fresh quorum; returns whether that is held here. */
+  /**
+   * Receives the index of the newest configuration, as named by a leader with a fresh quorum; returns whether that
+   * configuration is held here.
+   */
   readonly onNewest: (index: number, requestedAt: ClockReading) => boolean;
 }
 
@@ -73,8 +76,8 @@
    * Polls the hub for the newest configuration, if a poll is due.
    *
    * If the hub is isolated or frozen while a configuration is accepted elsewhere, requests would be handled by the
-   * older one until the lease on it expires. So if the hub doesn't answer a ping, or two polls have failed, another
-   * hub, which has the newest, is searched for.
+   * older one until the lease on it expires. So another hub, which may have the newest, is searched for if this one
+   * doesn't answer a ping, a poll times out, or two polls in a row fail.
    */
   poll(): void {
     const { hub, runtime } = this.#options;
@@ -96,8 +99,8 @@
   }
 
   /**
-   * Pings the hub beside the poll: one whose leader is unreachable replies late but is alive, and leaving it would
-   * gain nothing.
+   * Pings the hub in addition to the poll: a hub whose leader is unreachable is late to answer the poll but is alive,
+   * and leaving it would gain nothing.
    */
   #checkHub(): void {
     const { hub, runtime } = this.#options;
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -56,7 +56,7 @@
   readonly lease: DaemonCoordinator;
   readonly peers: DirectRankPeers;
   readonly runtime: Runtime;
-  /** Shape of maps and required gain of a change; null until a configuration has been read. */
+  /** Limits of a change; null until a configuration has been read. */
   readonly mapLimits: () => MapLimits | null;
   /** Whether the sidecar of a rank may coordinate the group. */
   readonly isCandidate: (rank: number) => boolean;
@@ -69,16 +69,16 @@
 /** Interval of reading counts, ms: a few hundred thousand expert choices at the usual rate. */
 const COUNTS_INTERVAL_MS = 250;
 
-/** Maximum age of the newest report for it to show whether the group is open, ms. */
+/** Maximum age of the newest report for the group's load to be published, ms. */
 const REPORT_MAX_AGE_MS = 700;
 
-/** Counts that take longer than this to arrive are left to the next round, ms. */
+/** Counts that take longer than this to arrive are used in the next round, ms. */
 const ROUND_TIMEOUT_MS = 80;
 
 /** Interval of reading reports while a map change is in progress, ms. */
 const REPORT_INTERVAL_MS = 60;
 
-/** Interval of checking unfinished orders, ms. */
+/** Interval of {@link DirectCoordinator.tick}, ms. */
 export const COORDINATOR_TICK_MS = 20;
 
 /** Version of the map that a newly formed group has. */
@@ -372,7 +372,7 @@
    * A value from each rank's report, or the mean of the others for a rank without a report.
    *
    * A new coordinator has reports of a few ranks only. With zero for the others the group would look nearly empty,
-   * and many times its slots would be granted. Ranks of a group run alike, so their mean is used.
+   * and many times more slots than it has would be granted. Ranks of a group run alike, so their mean is used.
    */
   #valuePerRank(valueOf: (report: RankReport) => number): readonly number[] {
     const values = this.#reports.flatMap((report) => (report === null ? [] : [valueOf(report)]));
--- a/src/daemon/direct/DirectDocument.ts
+++ b/src/daemon/direct/DirectDocument.ts
@@ -5,10 +5,12 @@
 /** Fleet name of everything that a document declares. */
 export const DIRECT_FLEET = 'direct';
 
-/** Key of the entry. The document is compressed synchronously: some 100 KB take 1 to 2 ms, a few times a minute. */
 const DOCUMENT_KEY = 'document';
 
-/** Configuration entries that hold a document. */
+/**
+ * Configuration entries that hold a document. It is compressed synchronously: some 100 KB take 1 to 2 ms, a few times
+ * a minute.
+ */
 export function entriesOfDocument(text: string): ConfigEntries {
   // eslint-disable-next-line n/no-sync
   return { [DOCUMENT_KEY]: deflateRawSync(text).toString('base64') };
--- a/src/daemon/direct/DirectEndpoint.ts
+++ b/src/daemon/direct/DirectEndpoint.ts
@@ -37,10 +37,10 @@
  */
 const MAX_CANDIDATES = 3;
 
-/** Interval of asking the engine for its group until it has one, ms. */
+/** Interval, ms, of polling the engine until it has a group, and of checking whether to read the configuration. */
 const GROUP_POLL_MS = 500;
 
-/** Interval of reading the configuration as coordinator, ms; the engines' costs hardly change. */
+/** Interval of reading the configuration as coordinator, ms; the engines' costs rarely change. */
 const CONFIG_INTERVAL_MS = 10_000;
 
 const LEASE_TICK_MS = 100;
@@ -97,7 +97,7 @@
     log,
     signal,
     random: runtime.random,
-    // Not followed: only a coordinator needs the configuration, and reads it now and then.
+    // No subscription: only a coordinator needs the configuration, and reads it at an interval.
     onConfig: null,
     onDirectory: (delta) => members.apply(delta),
   });
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -337,7 +337,7 @@
     return this.#state.routes !== null && this.#state.isProven;
   }
 
-  /** Waits until something that a newly started process may lack is there, as long as the caller stays connected. */
+  /** Waits for a condition that a newly started process may not meet yet, while the caller stays connected. */
   async #awaitStartup(
     reply: DirectReply,
     startedAt: number,
@@ -392,8 +392,9 @@
    * Finds the route and the customer of a request.
    *
    * Callers don't retry after 401 or 404, so a process with an outdated configuration must not refuse a new key or
-   * path with these. It does so only shortly after its configuration was proven to be the newest; else it refuses
-   * with 503, which callers retry elsewhere. Keys that it knows are served as long as none can have been revoked.
+   * path with these. They are sent only if the configuration was proven to be the newest shortly before; else the
+   * request is refused with 503, which callers retry elsewhere. Keys that it knows are served as
+   * long as none can have been revoked.
    */
   #authorize(
     req: IncomingMessage,
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -73,15 +73,15 @@
 const REPLACED_RETENTION_MS = 60_000;
 
 /**
- * Maximum age of the proof that the configuration is the newest for a key or path to be refused as unknown, ms: the
- * interval of two polls, and below the 2 s within which a change must be in force.
+ * Maximum age of the proof that the configuration is the newest for a key or path to be refused as unknown, ms:
+ * just over two poll intervals, and below the 2 s within which a change must be in force.
  */
 const DENIAL_MAX_AGE_MS = 1_500;
 
 /** Connections that an endpoint accepts where its service doesn't declare a number. */
 const DEFAULT_CONNECTIONS = 64;
 
-/** Average retry delay given to callers where it isn't known when a slot is free, ms. */
+/** Average retry delay given to callers where it isn't known when a slot becomes free, ms. */
 const RETRY_AFTER_MS = 400;
 
 /** State of the process. */
@@ -410,7 +410,7 @@
     return this.isLeaving ? [...headers, 'Connection', 'close'] : headers;
   }
 
-  /** Last of some complete events, with its id; null if there are only comments. */
+  /** Id of the last of some complete events, if it has one; null if there are only comments. */
   lastEvent(events: Buffer): { readonly id: string | null } | null {
     return findLastEvent(events, this.#options.http.eventId);
   }
--- a/src/daemon/direct/DirectLimits.ts
+++ b/src/daemon/direct/DirectLimits.ts
@@ -1,4 +1,4 @@
-/** Send rates of an entry process to endpoints that have named a limit. */
+/** Send rates of an entry process to endpoints that have advertised a limit. */
 import { Gauge } from 'prom-client';
 import {
   updateInterval,
@@ -23,11 +23,11 @@
   /** Id of this entry host. */
   readonly self: string;
   readonly runtime: Pick<Runtime, 'now' | 'log' | 'registry'>;
-  /** Sends updates to the control process; lost while there is no link. */
+  /** Sends updates to the control process; they are lost while there is no link. */
   readonly send: SendUpdate<LimitUpdate>;
 }
 
-/** Sender name of the control process's updates: there is one control process at a time. */
+/** Sender name for all updates from control processes: this process is attached to only one at a time. */
 const HUB = 'hub';
 
 /** Endpoint limits of one entry process. */
@@ -82,7 +82,7 @@
     };
   }
 
-  /** Applies the limit that an answer names; `sent` is the timestamp of its request. */
+  /** Applies the limit that an answer advertises; `sent` is the timestamp of its request. */
   onAnswer(
     endpoint: MemberRecord,
     sent: LimitTimestamp,
--- a/src/daemon/direct/DirectMapLimits.ts
+++ b/src/daemon/direct/DirectMapLimits.ts
@@ -9,9 +9,9 @@
 
 /**
  * Time that a rank may spend on the copies of one change, ms. A change takes some 350 ms besides, and until it is in
- * use passes are as long as before. The first copies gain most: on demand observed after shifts, two per rank of
- * large experts (142 ms each) reduce the skew from 2.9 to 1.1, ten of small ones (27 ms) from 3.2 to 1.12, and all
- * that would fit by another 0.05 in twice the time.
+ * use passes are as long as before. The first copies gain most: after a shift of demand, two copies per rank of
+ * large experts (142 ms each) reduce the skew from 2.9 to 1.1, and ten of small ones (27 ms each) from 3.2 to 1.12.
+ * All copies that would fit reduce it by another 0.05 in twice the time.
  */
 const COPY_BUDGET_MS = 290;
 
--- a/src/daemon/direct/DirectPools.ts
+++ b/src/daemon/direct/DirectPools.ts
@@ -3,7 +3,7 @@
 import type { MemberRecord } from '../../protocol/index.js';
 import { openPool, type EndpointPool } from '../../transport/index.js';
 
-/** Share of an endpoint's connections that all entry processes use together: it has other callers too. */
+/** Share of an endpoint's connections that all entry processes use together: endpoints have other callers too. */
 const CONNECTION_SHARE = 0.8;
 
 /** Minimum number of entry processes assumed, as others may not be known yet. */
--- a/src/daemon/direct/DirectRank.ts
+++ b/src/daemon/direct/DirectRank.ts
@@ -47,9 +47,7 @@
   | {
       readonly fenced: false;
       readonly report: RankReport;
-      /**
-       * Expert choices since the same coordinator read them before; null if it did not, or the counts started anew.
-       */
+      /** Expert choices since the same coordinator last read them; null if it has not, or the counts were reset. */
       readonly counts: PackedCounts | null;
       readonly experts: readonly (readonly number[])[] | null;
     };
@@ -70,8 +68,8 @@
 /**
  * The rank on this host.
  *
- * A replaced coordinator that wakes up and continues its change would mix its orders with its successor's. Once a
- * coordinator with a higher token has requested a report, requests and orders with a lower one are refused, so the
+ * A replaced coordinator that was frozen and then continues its change would mix its orders with its successor's. Once
+ * a coordinator with a higher token has requested a report, requests and orders with a lower one are refused, so the
  * old coordinator can't obtain the reports that it would need to release the group.
  */
 export class DirectRank {
@@ -121,8 +119,8 @@
   }
 
   /**
-   * Expert choices since the coordinator with this token read them before; null if it did not, or the counts started
-   * anew.
+   * Expert choices since the coordinator with this token last read them; null if it has not, or the counts were
+   * reset.
    */
   async #readNewCounts(token: number): Promise<PackedCounts | null> {
     const counts = await this.#engine.counts();
--- a/src/daemon/direct/DirectRankPeers.ts
+++ b/src/daemon/direct/DirectRankPeers.ts
@@ -34,7 +34,7 @@
 /** Opens a client of a rank's engine, by the address of the rank's sidecar. */
 export type OpenEngine = (sidecar: Address) => EngineClient;
 
-/** A rank's sidecar, and its engine for when that doesn't answer. */
+/** Link to a rank's sidecar, and access to its engine for when the sidecar doesn't answer. */
 interface RankLink {
   readonly key: string;
   readonly client: TransportLinkClient;
@@ -45,8 +45,8 @@
  * Links to the ranks of a group, which are closed with the signal.
  *
  * If a sidecar is frozen or dead while the group is held, nobody can tell whether its rank is armed, and the group
- * would stand still until the sidecar is back. So after half a second, and sooner where there is no link to it,
- * requests and orders go to the engine itself. When the bypassed sidecar wakes up it may still forward an order late,
+ * would stay held until the sidecar is back. So after half a second, and sooner where there is no link to it,
+ * requests and orders go to the engine itself. When the bypassed sidecar resumes, it may still forward an order late,
  * which a map change tolerates anyway.
  */
 export class DirectRankPeers {
@@ -181,7 +181,7 @@
     if (this.#runtime.now() - answeredAt < patienceMs) {
       return null;
     }
-    // The sidecar is asked all the same, to notice when it is back.
+    // A request is still sent to the sidecar, to detect when it answers again.
     this.#request(rank, 'rank.ask', {
       token: 0,
       withCounts: false,
--- a/src/daemon/direct/DirectRefusals.ts
+++ b/src/daemon/direct/DirectRefusals.ts
@@ -10,7 +10,8 @@
 import type { Runtime } from '../DaemonRuntime.js';
 
 /**
- * Whether an answer is the endpoint's own refusal without a retry time: others blame another rank, or are backoffs.
+ * Whether an answer is a refusal for a reason of the endpoint's own, without a backoff. Other refusals name another
+ * rank as faulty, or request a backoff.
  */
 function isRefusal({ id }: MemberRecord, head: AnswerHead): boolean {
   const { notRun, restMs, faultyInstance } = head;
--- a/src/daemon/direct/DirectReply.ts
+++ b/src/daemon/direct/DirectReply.ts
@@ -68,7 +68,7 @@
 
   /**
    * Registers a callback for the end of the answer or of the caller's connection; returns a function that unregisters
-   * it. The connection is watched too, as an answer that is queued behind others isn't notified of its end.
+   * it. The connection is watched too, as an answer that is queued behind others isn't notified when it closes.
    */
   registerClose(onClose: () => void): () => void {
     const { socket } = this.#res.req;
@@ -105,7 +105,7 @@
     { raw, body }: Pick<WholeAnswer, 'raw' | 'body'>,
   ): void {
     const isBodyless = this.#res.req.method === 'HEAD' || BODYLESS_STATUSES.has(status);
-    // Without a body the length is that of another answer's body, which only the endpoint knows.
+    // An answer without a body declares the length that its body would have, which only the endpoint knows.
     const length = isBodyless ? declaredLength(status, raw) : String(body.length);
     const framed = length === null ? headers : [...headers, 'Content-Length', length];
     this.#writeHead('endpoint', { status, headers: framed });
--- a/src/daemon/direct/DirectRequest.ts
+++ b/src/daemon/direct/DirectRequest.ts
@@ -5,7 +5,7 @@
 import type { DirectReply } from './DirectReply.js';
 
 /**
- * A request whose deadline leaves less than this share of its route's time is a caller's retry of a refused request.
+ * A request whose deadline leaves less than this share of its route's timeout counts as a caller's retry.
  */
 const RETRY_TIME_SHARE = 0.97;
 
--- a/src/daemon/direct/DirectSendSlots.ts
+++ b/src/daemon/direct/DirectSendSlots.ts
@@ -13,10 +13,10 @@
 import { DirectRefusals } from './DirectRefusals.js';
 import { DirectBackoffs } from './DirectBackoffs.js';
 
-/** A leaving endpoint that is no member any more is remembered this long, ms. */
+/** A leaving endpoint that isn't a member any more is remembered this long, ms. */
 const LEAVING_RETENTION_MS = 600_000;
 
-/** An endpoint that accepts a request after a time, ms; infinite if it never will. */
+/** An endpoint, and the time until it accepts a request, ms; infinite if it never will. */
 export interface SendSlot {
   readonly endpoint: MemberRecord;
   readonly waitMs: number;
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Forgets leaving endpoints that are no members any more, after a delay: one that is only unreachable comes back
+   * Forgets leaving endpoints that aren't members any more, after a delay: one that is only unreachable comes back
    * earlier.
    */
   keep(isKept: (incarnationKey: IncarnationKey) => boolean): void {
--- a/src/daemon/direct/DirectStreams.ts
+++ b/src/daemon/direct/DirectStreams.ts
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Records the end of a stream that had received events. */
+  /** Records the end of a stream from which events were received. */
   onFinished(endpoint: string): void {
     const known = this.#streams.get(endpoint);
     if (known !== undefined && known.writingCount > 1) {
