--- a/src/daemon/DaemonControlCore.ts
+++ b/src/daemon/DaemonControlCore.ts
@@ -95,8 +95,8 @@
 }
 
 /**
- * Reads the newest log index from the leader, once a leader is known; rejects if none is known by `waitUntil`, ms on the
- * local monotonic clock.
+ * Reads the newest log index from the leader, once a leader is known; rejects if none is known by `waitUntil`, ms on
+ * the local monotonic clock.
  */
 async function readIndexAtLeader(cradle: Cradle, waitUntil: number): Promise<number | null> {
   const { consensus, runtime } = cradle;
--- a/src/daemon/DaemonHub.ts
+++ b/src/daemon/DaemonHub.ts
@@ -277,7 +277,7 @@
       return reply;
     }
     this.#processes.get(id)?.link.close();
-    // The link belongs to the process that sent its hello on it, and carries no other process's messages.
+    // The link belongs to the process that sent its hello on it, and carries messages of no other.
     // eslint-disable-next-line no-param-reassign
     link.peer = id;
     const sender = rateLimitedSender(link, this.#options.now);
--- a/src/daemon/DaemonScreening.ts
+++ b/src/daemon/DaemonScreening.ts
@@ -107,7 +107,7 @@
   /**
    * Handles a lost connection to an endpoint during a request. Resolves once it is known, as far as possible, whether
    * the endpoint crashed. A request that endpoints answered completely a short while ago isn't suspected: one that is
-   * sent all the time is in progress at almost any endpoint, whatever that crashes of.
+   * sent all the time is in progress at almost any endpoint, so also at one that crashes for another reason.
    */
   async onConnectionLost(
     endpoint: MemberRecord,
--- a/src/daemon/__tests__/unit/DaemonCoalescedRead.test.ts
+++ b/src/daemon/__tests__/unit/DaemonCoalescedRead.test.ts
@@ -19,8 +19,8 @@
 }
 
 describe('CoalescedRead', () => {
-  // An entry process reads while another read is in progress that began before a key was withdrawn. If it got that
-  // result, it would take its configuration for the newest although the withdrawal is newer.
+  // An entry process reads while another read is in progress that began before a key was revoked. If it got that
+  // result, it would take its configuration for the newest although the revocation is newer.
   it('never returns the result of a read that started before the call', async () => {
     const source = new Source();
     const shared = new CoalescedRead(source.read);
--- a/src/daemon/direct/DirectCall.ts
+++ b/src/daemon/direct/DirectCall.ts
@@ -245,9 +245,9 @@
   }
 
   /**
-   * Called when no endpoint accepts the request now. If an endpoint with a limit or backoff has a send slot before the
-   * caller's patience ends, waits for that slot. Otherwise the request ends at once; if it is refused, the refusal
-   * names the time until the next send slot.
+   * Called when no endpoint accepts the request now. If an endpoint with a limit or backoff has a send slot in time
+   * for the caller's patience and deadline, waits for that slot. Otherwise the request ends at once; if it is refused,
+   * the refusal names the time until the next send slot, if there is one.
    */
   #awaitSendSlot(): void {
     const { service, route, head, startedAt, deadline } = this.#request;
--- a/src/daemon/direct/DirectCoordinator.ts
+++ b/src/daemon/direct/DirectCoordinator.ts
@@ -69,7 +69,7 @@
 /** Interval of reading counts, ms: a few hundred thousand expert choices at the usual rate. */
 const COUNTS_INTERVAL_MS = 250;
 
-/** Maximum age of the newest report for the group's load to be published, ms. */
+/** A report older than this doesn't show whether the group is open, so no load is published by it. In ms. */
 const REPORT_MAX_AGE_MS = 700;
 
 /** Counts that take longer than this to arrive are used in the next round, ms. */
@@ -78,7 +78,7 @@
 /** Interval of reading reports while a map change is in progress, ms. */
 const REPORT_INTERVAL_MS = 60;
 
-/** Interval of {@link DirectCoordinator.tick}, ms. */
+/** Interval of {@link DirectCoordinator.tick}, ms: how often unfinished orders are checked. */
 export const COORDINATOR_TICK_MS = 20;
 
 /** Version of the map that a newly formed group has. */
--- a/src/daemon/direct/DirectEntry.ts
+++ b/src/daemon/direct/DirectEntry.ts
@@ -393,8 +393,8 @@
    *
    * Callers don't retry after 401 or 404, so a process with an outdated configuration must not refuse a new key or
    * path with these. They are sent only if the configuration was proven to be the newest shortly before; else the
-   * request is refused with 503, which callers retry elsewhere. Keys that it knows are served as
-   * long as none can have been revoked.
+   * request is refused with 503, which callers retry elsewhere. Known keys are accepted as long as none can
+   * have been revoked.
    */
   #authorize(
     req: IncomingMessage,
--- a/src/daemon/direct/DirectEntryState.ts
+++ b/src/daemon/direct/DirectEntryState.ts
@@ -410,7 +410,7 @@
     return this.isLeaving ? [...headers, 'Connection', 'close'] : headers;
   }
 
-  /** Id of the last of some complete events, if it has one; null if there are only comments. */
+  /** The last of some complete events, with its id or null for none; null if there are only comments. */
   lastEvent(events: Buffer): { readonly id: string | null } | null {
     return findLastEvent(events, this.#options.http.eventId);
   }
--- a/src/daemon/direct/DirectRequest.ts
+++ b/src/daemon/direct/DirectRequest.ts
@@ -5,7 +5,8 @@
 import type { DirectReply } from './DirectReply.js';
 
 /**
- * A request whose deadline leaves less than this share of its route's timeout counts as a caller's retry.
+ * A request whose deadline leaves less than this share of its route's timeout counts as a caller's retry of a refused
+ * request.
  */
 const RETRY_TIME_SHARE = 0.97;
 
--- a/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectAdmission.test.ts
@@ -111,7 +111,7 @@
     assert.deepEqual(await waiting, { granted: true });
   });
 
-  // A group is down for good, and now and then a rank is tried again. Callers must not wait in vain.
+  // A group stays down, and a rank is tried from time to time. Callers must not be queued without a prospect.
   it('queues nothing for a group that has been down for longer than callers wait, until it answers', () => {
     let now = 0;
     const admission = openAdmission(undefined, () => now);
@@ -190,7 +190,7 @@
   });
 
   // A rank is unreachable, and the others don't report it for a second and a half. Requests that arrive meanwhile
-  // must wait: if sent, they would be dropped half run, and nobody could tell their callers that they have not run.
+  // must wait: if sent, they may run in part, and their callers couldn't be told that they have not run.
   it('sends nothing to a group whose streams have all stopped delivering events', async () => {
     let now = 0;
     const admission = openAdmission(pino({ level: 'silent' }), () => now);
@@ -215,7 +215,7 @@
   });
 
   // The host of one rank stalls and its engine sends nothing, while the group continues. As it has the least work,
-  // one request after another is sent there, and each waits until its caller leaves two seconds later.
+  // one request after another is sent there, and each waits until its caller disconnects two seconds later.
   it('avoids a rank that answers nothing while others do', () => {
     let now = 0;
     const admission = openAdmission(pino({ level: 'silent' }), () => now);
@@ -248,7 +248,7 @@
     assert.equal(chosen(), 'e1');
   });
 
-  // A group stalls as a whole, and refuses its requests a second and a half later. None of its ranks is to blame: if
+  // A group stalls as a whole, and refuses its requests a second and a half later. No single rank is the cause: if
   // some were avoided once it is open again, the others would get all the work.
   it('avoids no rank of a group that stalled as a whole', () => {
     let now = 0;
--- a/src/daemon/direct/__tests__/unit/DirectCall.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectCall.test.ts
@@ -202,7 +202,7 @@
     });
   });
 
-  // A request is refused by an endpoint, sent there again, and runs. A late second refusal of the first send bears
+  // A request is refused by an endpoint, sent there again, and runs. A late second refusal of the first send has
   // the same id, and must not be taken for the answer.
   it('ignores a late answer to an earlier send of the same request', async () => {
     const refusal = 'HTTP/1.1 503 X\r\ncontent-length: 0\r\n\r\n';
--- a/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectConfigWatch.test.ts
@@ -14,7 +14,6 @@
   readonly done: string[] = [];
 
   /** Reply to a poll. */
-
   answer = answerSeven;
 
   alive = true;
--- a/src/daemon/direct/__tests__/unit/DirectRank.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectRank.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('DirectRank', () => {
-  // A coordinator is replaced while it is frozen, and continues its change when it wakes up. Its orders would mix
+  // A coordinator is replaced while it is frozen, and continues its change when it resumes. Its orders would mix
   // with its successor's, and a report could make it release a group that is held.
   it('executes no orders of a replaced coordinator and gives it no reports', async () => {
     const { engine, orders } = fakeEngine();
--- a/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
+++ b/src/daemon/direct/__tests__/unit/DirectRankPeers.test.ts
@@ -50,7 +50,7 @@
     assert.deepEqual(reply, { fenced: false, report: REPORT, counts: null, experts: null });
   });
 
-  // A sidecar that answers slowly still runs and fences orders; those that bypass it aren't fenced.
+  // A sidecar that answers slowly still runs and fences orders; it can't fence orders that bypass it.
   it('waits for a sidecar that accepts connections', async () => {
     const stop = new AbortController();
     const sockets: Socket[] = [];
