--- a/src/cli/CliClient.ts
+++ b/src/cli/CliClient.ts
@@ -53,7 +53,7 @@
   return attempt(addresses, [], null);
 }
 
-/** Parses the setting with the API's addresses. */
+/** Parses addresses that are separated by commas. Throws a `ZodError` if `text` is undefined. */
 export function parseAddresses(text: string | undefined): readonly string[] {
   return z
     .string({ error: 'give --api or LABURNUMGAUGE_API, ip:port[,ip:port]' })
--- a/src/cli/CliExplain.ts
+++ b/src/cli/CliExplain.ts
@@ -108,7 +108,7 @@
         'asked for a backoff (look for "limit" and "rest" lines of this host)';
 }
 
-/** States if an answer's head came from the HTTP library instead of the endpoint or an error of this process. */
+/** Says so if an answer's head came from the HTTP library instead of the endpoint or an error of this process. */
 function describeHead({ status, headOf }: LogLine): string {
   return headOf === 'library'
     ? `; its head, with status ${String(status)}, is neither the endpoint's nor an error of this host`
--- a/src/cli/CliLoss.ts
+++ b/src/cli/CliLoss.ts
@@ -44,15 +44,15 @@
 /** Loss of a late answer, which is worth about half of one on time. */
 export const LATE_LOSS = 0.5;
 
-/** Above this skew a long pause is attributed to the expert map. */
+/** Skew (maximum over mean load of the ranks) above which a long pause is attributed to the expert map. */
 const MAX_EVEN_SKEW = 1.5;
 
-/** A request that has ended, with the last preceding "places" line of its host. */
+/** A request that has ended, with the last "places" line (group load and slots) of its host before. */
 interface EndedRequest {
   readonly line: LogLine;
   readonly places: LogLine | undefined;
   readonly attempt: LogLine | undefined;
-  /** Its last "turn" line: it had to wait for a send slot, or got none (`endpoint` null). */
+  /** Its last "turn" line, if it had to wait for a send slot; `endpoint` is null if it got none. */
   readonly turn: LogLine | undefined;
 }
 
@@ -102,7 +102,7 @@
   return () => ({ cause, lost: 1 });
 }
 
-/** Loss rules by outcome of an answered request. */
+/** Loss rules by the outcome in a request's "answer" line. */
 const LOSS_RULES: Readonly<Record<string, LossRule>> = {
   whole: lossOfCompleteAnswer,
   refused: (ended) => ({ cause: causeOfRefusal(ended), lost: 1 }),
--- a/src/protocol/ProtocolLimits.ts
+++ b/src/protocol/ProtocolLimits.ts
@@ -2,7 +2,7 @@
 
 /** The last limit advertised by one incarnation of an endpoint. */
 export interface LimitRecord {
-  /** The endpoint, `id@incarnation`. */
+  /** Key of the incarnation, `id@incarnation`. */
   readonly life: string;
   /** Logical clock (Lamport, 1978) of this endpoint's limits: a greater value was advertised later. */
   readonly clock: number;
--- a/src/protocol/ProtocolMessages.ts
+++ b/src/protocol/ProtocolMessages.ts
@@ -1,4 +1,7 @@
-/** Messages between the system's own processes. */
+/**
+ * Messages between the system's own processes. A gate is the part of an endpoint process that accepts attempts
+ * from entry processes and passes them on to its engine.
+ */
 import type { Manifest } from './ProtocolManifest.js';
 
 /** Role of a process. */
@@ -63,9 +66,9 @@
 /** Answer to {@link HelloMessage}. */
 export interface HelloReply {
   readonly accepted: boolean;
-  /** Smallest incarnation that would be accepted, if the sender's was too old. */
+  /** Smallest incarnation that would be accepted; only relevant if the hello was refused. */
   readonly leastIncarnation: number;
-  /** Control processes known to the sender, including itself. */
+  /** Control processes known to the one that answers, including itself. */
   readonly controls?: readonly ControlAddress[];
 }
 
--- a/src/protocol/ProtocolQuarantine.ts
+++ b/src/protocol/ProtocolQuarantine.ts
@@ -6,7 +6,7 @@
   readonly digest: string;
   /** Customer who sent the request; empty for a route that needs no key. */
   readonly customer: string;
-  /** Keys of the incarnations that crashed while they ran it, sorted. */
+  /** Keys of the incarnations that crashed while they ran it, `id@incarnation`, sorted. */
   readonly ends: readonly string[];
   /** Those of `ends` that no longer count against the request, sorted. */
   readonly cleared: readonly string[];
--- a/src/protocol/ProtocolRoutes.ts
+++ b/src/protocol/ProtocolRoutes.ts
@@ -3,7 +3,10 @@
  * a platform decodes its own documents into these types.
  */
 
-/** Kind of the requests of a route: `idempotent` ones may be repeated, `once` requests run at most once. */
+/**
+ * Kind of the requests of a route: `idempotent` ones may be repeated, `once` requests run at most once, and `stream`
+ * requests are answered with a stream of events.
+ */
 export type RouteKind = 'idempotent' | 'once' | 'stream';
 
 /** A service of a route, with the weight of its share of the requests. */
@@ -114,7 +117,7 @@
   readonly rank: number;
   readonly ranks: number;
   readonly open: boolean;
-  /** Last pass that was started. */
+  /** Number of the last pass that was started; unlike in {@link EngineCosts}, not a token step. */
   readonly step: number;
   /** Version of the map in use. */
   readonly mapVersion: number;
@@ -159,7 +162,10 @@
 /** Experts of each rank, `map[set][rank]`. */
 export type GroupMap = readonly (readonly (readonly number[])[])[];
 
-/** Orders to a rank. A `hold` keeps the group from starting a pass until the `release`. */
+/**
+ * Orders to a rank; `step` is the number of a pass. A `hold` keeps the group from starting that pass until the
+ * `release`.
+ */
 export type EngineOrder =
   | {
       readonly kind: 'prepare';
--- a/src/state/StateConfig.ts
+++ b/src/state/StateConfig.ts
@@ -90,14 +90,15 @@
   return Object.fromEntries(Object.entries(entries).filter(([key]) => key.startsWith(prefix)));
 }
 
-/** Result of a delta: with `gap`, all changes since the held index have to be requested. */
+/** Result of a delta: with `gap`, all changes since the current index have to be requested. */
 export type DeltaResult = 'applied' | 'old' | 'gap';
 
 /**
  * Applies a delta in order of log index, so that the index only increases.
  *
  * A relay that was frozen may send old or reordered deltas, which would bring back an older configuration. A delta
- * that doesn't end after the held index is dropped, and one that starts after it is not applied.
+ * that ends at or before the current index is dropped. A later one is applied if it is a snapshot or starts at the
+ * current index; otherwise it is a gap.
  */
 export function applyConfigDelta(
   state: ConfigState,
--- a/src/state/StateControl.ts
+++ b/src/state/StateControl.ts
@@ -95,7 +95,7 @@
   readonly entries: ConfigEntries;
 }
 
-/** Grants a lease; `after` identifies the lease that it replaces, so that only one of several rival requests succeeds. */
+/** Grants a lease; `after` identifies the lease that it replaces, so that only one of concurrent requests succeeds. */
 export interface LeaseCommand {
   readonly kind: 'lease';
   readonly group: string;
@@ -268,8 +268,8 @@
 }
 
 /**
- * Deltas from an index to the current configuration. One snapshot if they are no longer kept, or if they
- * don't end at the current configuration, because that was received from another source.
+ * Deltas from an index to the current configuration. Returns one snapshot instead if they are no longer kept, or if
+ * the current configuration was received from another source, so that they don't reach it.
  */
 export function deltasSince(
   { config, deltas }: Pick<ControlState, 'config' | 'deltas'>,
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -1,4 +1,4 @@
-/** Layer `state`: read-only values, each changed by one function only. */
+/** Layer `state`: immutable values, each replaced by one function only, and the data folder of a control process. */
 export {
   applyConfigDelta,
   canonicalJson,
--- a/src/transport/TransportCall.ts
+++ b/src/transport/TransportCall.ts
@@ -39,7 +39,7 @@
 /** How long idle connections are kept to an endpoint that doesn't state its own keep-alive time, ms. */
 const KEEP_ALIVE_MS = 4_000;
 
-/** A 304 states the length of a body that it doesn't have, which the client library reports as a length mismatch. */
+/** A 304 may state the length of a body that it doesn't have, which the client library reports as a length mismatch. */
 const NOT_MODIFIED = 304;
 const LENGTH_MISMATCH = 'UND_ERR_RES_CONTENT_LENGTH_MISMATCH';
 
@@ -256,7 +256,7 @@
     },
   });
   if (usesOwnConnection) {
-    // Closes the pool after the call; if that is aborted, its listener is notified.
+    // Closes the pool once the call has ended; a failure of the call is reported to its listener.
     pool.close().catch(() => undefined);
   }
   return {
--- a/src/transport/TransportFrames.ts
+++ b/src/transport/TransportFrames.ts
@@ -57,7 +57,10 @@
     .every((line) => line === '' || line.startsWith(':'));
 }
 
-/** Id, read by `readId`, of the last of some complete events that isn't a comment; null if all are comments. */
+/**
+ * Finds the last event that isn't a comment in a buffer of complete events; null if all are comments. `readId` reads
+ * the id of an event.
+ */
 export function findLastEvent(
   events: Buffer,
   readId: (event: Buffer) => string | null,
--- a/src/transport/TransportLink.ts
+++ b/src/transport/TransportLink.ts
@@ -42,7 +42,7 @@
 
 /** An open link, which ends with its socket. */
 export class TransportLink {
-  /** Name of the peer; empty on the accepting side until that sets it. */
+  /** Name of the peer; on the accepting side empty until its owner sets it. */
   peer: string;
 
   /** Name of the target that the link was opened to; empty on the accepting side. */
--- a/src/transport/TransportLinkClient.ts
+++ b/src/transport/TransportLinkClient.ts
@@ -14,7 +14,7 @@
 } from './TransportLinkConnector.js';
 import { raceForLink } from './TransportLinkSearch.js';
 
-/** Base of the pause between attempts, ms: hosts that lost power together are back within tenths of a second. */
+/** Base of the pause between attempts, ms; short, as hosts that lost power are back within tenths of a second. */
 const BASE_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
@@ -153,7 +153,7 @@
       const link = this.#takeReplacement() ?? (await this.#openAny(failures));
       // eslint-disable-next-line no-await-in-loop
       await this.#serveLink(link);
-      // A target whose link timed out is probably still unreachable; connecting to it first would block.
+      // A target whose link timed out is probably still unreachable; trying it first would delay the others.
       failures = link === null || link.hasTimedOut ? failures + 1 : 0;
       const pause = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** failures);
       if (this.#replacement === null) {
@@ -226,8 +226,8 @@
 
   /**
    * Searches while the current link stays open until another target has responded; several are tried concurrently. The
-   * kernel of a frozen hub still accepts connections, so a process that closed its link first could get stuck at such
-   * a hub, and would serve callers with an older configuration meanwhile.
+   * kernel of a frozen host still accepts connections, so a process that closed its link first could get stuck at such
+   * a host, and would serve callers with an older configuration meanwhile.
    */
   #startSearch(reason: LinkSearchReason, targets: readonly LinkTarget[]): void {
     const from = this.#link?.target;
--- a/src/transport/TransportLinkConnector.ts
+++ b/src/transport/TransportLinkConnector.ts
@@ -43,8 +43,8 @@
 /**
  * Opens a socket. Rejects after {@link CONNECT_TIMEOUT_MS}.
  *
- * Without this limit, an attempt to connect to a host without power would block for as long as the kernel retries, and
- * with it a process that waits for a hub, or two control hosts that could elect a leader. `setTimeout` is used because
+ * Without this limit, an attempt to connect to a host without power would last for as long as the kernel retries, and
+ * delay a process that needs a link, or two control hosts that could elect a leader. `setTimeout` is used because
  * `AbortSignal.any` refers to a timeout signal only weakly, so that a garbage collection can remove its timer.
  */
 async function openSocket(address: Address, signal: AbortSignal): Promise<Socket> {
--- a/src/transport/TransportLinkSearch.ts
+++ b/src/transport/TransportLinkSearch.ts
@@ -26,9 +26,9 @@
 /**
  * Opens links to several targets and returns the first that is up; null if the search ended before.
  *
- * `stop` doesn't interrupt a link's `onUp`. Otherwise a peer that is registering this process would record it as its
- * own, with a newer record than the peer that really has it, and later report it `gone` to all. A peer that doesn't
- * answer is bounded by the timeout of that stage.
+ * `stop` doesn't interrupt a link's `onUp`. Otherwise a peer that is registering this process would record it as
+ * linked to itself, with a newer record than that of the peer that it stays linked to, and would later report it `gone`
+ * to all. The wait for a peer that doesn't answer is limited by the timeout of that stage.
  */
 export async function raceForLink(
   connector: LinkConnector,
@@ -38,7 +38,7 @@
   const finished = new AbortController();
   const signal = AbortSignal.any([stop, end, finished.signal]);
   let found: TransportLink | null = null;
-  // Links are brought up one at a time, so that no two hubs register this process.
+  // Links are brought up one at a time, so that only one peer registers this process.
   let bringUpQueue = Promise.resolve();
   const bringUp = async (link: TransportLink): Promise<void> => {
     if (found === null && !signal.aborted && (await connector.bringUp(link, end))) {
--- a/src/transport/TransportParts.ts
+++ b/src/transport/TransportParts.ts
@@ -10,7 +10,7 @@
 /** Maximum size of a part, in bytes. */
 export const PART_BYTES = 4_096;
 
-/** Messages up to this size are sent as they are, in bytes. */
+/** Messages up to this size, in bytes, are sent whole and uncompressed. */
 const MAX_UNSPLIT_BYTES = 1_024;
 
 interface Part {
@@ -113,7 +113,7 @@
 /**
  * Adds a handler that reassembles parts and passes the complete message to the handler of its method.
  *
- * Parts are kept per link, where they arrive in order. A process has links to two hubs while it moves between them;
+ * Parts are kept per link, where they arrive in order. A process has links to two peers while it moves between them;
  * if both send, mixed parts would make both messages incomplete.
  *
  * @param onProgress called for each part that was accepted.
--- a/src/transport/TransportProbe.ts
+++ b/src/transport/TransportProbe.ts
@@ -24,7 +24,7 @@
  */
 const KEPT_OPEN_MS = 300;
 
-/** Maximum number of connections, and the pause between them, ms: a process that is ending is done by then. */
+/** Maximum number of connections, and the pause between them, ms: a process that is ending has ended by then. */
 const MAX_TRIES = 3;
 const RETRY_PAUSE_MS = 40;
 
@@ -32,7 +32,7 @@
 export interface Probe {
   /** Never rejects. */
   readonly result: Promise<ProbeResult>;
-  /** Resolves with the result, or before if that takes long, so that callers need not wait longer. */
+  /** Resolves once there is a result, or earlier if that takes long, for callers that need not wait for it. */
   readonly settled: Promise<void>;
 }
 
--- a/src/transport/__tests__/unit/TransportLinkClient.test.ts
+++ b/src/transport/__tests__/unit/TransportLinkClient.test.ts
@@ -142,11 +142,12 @@
   }
 }
 
+// A hub is a control process that other processes are linked to; here a peer stands in for it.
 describe('TransportLinkClient', () => {
   // All hosts lose power, and one is up again shortly before the next: its connection attempt there never gets an
-  // answer. The attempt's timeout was only weakly referenced and was removed by a garbage collection, as there are
-  // many at a start. Two control hosts of three that can't reach each other elect no leader, so no configuration can
-  // be read and callers are refused until the kernel's own timeout.
+  // answer. Garbage collections are frequent at a start, and would remove a timeout that is only weakly referenced.
+  // Two control hosts of three that can't reach each other elect no leader, so no configuration can be read and
+  // callers are refused until the kernel's own timeout.
   it('times out on a host that never answers, despite garbage collections', async () => {
     const stop = new AbortController();
     const [silent, other] = await startSilentAndOther(stop.signal);
@@ -180,9 +181,9 @@
     assert.equal(failedBefore, 0);
   });
 
-  // A request to a frozen hub times out. Callers used to compare clocks to detect the timeout; since timers fire up
-  // to a millisecond early, one unresponsive hub in four was taken for one that had answered with an error. It was
-  // asked again, and an older configuration stayed in force a second longer.
+  // A request to a frozen hub times out. Timers fire up to a millisecond early, so callers that compare clocks to
+  // detect the timeout would take one unresponsive hub in four for one that has answered with an error. They would
+  // ask it again, and an older configuration would stay in force a second longer.
   it('rejects each unanswered request with a timeout error', async () => {
     const stop = new AbortController();
     const peer = await startPeer(
