--- a/src/coordination/__tests__/unit/GroupSlots.test.ts
+++ b/src/coordination/__tests__/unit/GroupSlots.test.ts
@@ -75,9 +75,8 @@
     assert.equal(freeForEach(8, 60), 0);
   });
 
-  // Demand has shifted and the most loaded rank has three times the mean: passes take almost 150 ms, more than
-  // the longest pause of 120 ms. Each further stream would make all late, so none is started until passes are
-  // shorter.
+  // Demand has shifted and the most loaded rank has three times the mean: passes take 160 ms, more than the
+  // longest pause. Each further stream would make all late, so none is started until passes are shorter.
   it('offers no slots while passes are too long', () => {
     assert.equal(freeForEach(5, 3.4 * passTime(COSTS, 5)), 0);
     assert.ok(freeForEach(5, 1.2 * passTime(COSTS, 5)) > 0);
@@ -136,7 +135,7 @@
     }
     const other = applyGroupLoad(START, load(0, 40), NONE, PARAMS, 0, 0);
     const full = new Map(RANKS.slice(1).map(({ endpoint }) => [endpoint, 9]));
-    // `e0` is among the sampled ranks in 53 of 100 draws on average, and is then always chosen.
+    // It is among the ranks sampled from the own AZ at least half of the time, and is then always chosen.
     const chosen = Array.from({ length: 100 }, () =>
       chooseRank([other], full, 'z0', [], () => uniformFloat64(rng)),
     );
